--- a/crates/ctl/src/quarantine.rs
+++ b/crates/ctl/src/quarantine.rs
@@ -22,7 +22,7 @@
     /// Since when, in milliseconds since 1970.
     since: UnixMillis,
     /// The upstreams that ended under it.
-    upstreams: Vec<UpstreamLife>,
+    upstreams: Vec<UpstreamIncarnation>,
 }
 
 /// Requests in quarantine.
@@ -41,12 +41,12 @@
     let held = records.filter_map(|record| match record {
         QuarantineRecord::Quarantined {
             print,
-            lives,
+            incarnations,
             since,
         } => Some(HeldRequest {
             print: print.to_string(),
             since,
-            upstreams: lives,
+            upstreams: incarnations,
         }),
         QuarantineRecord::End { .. }
         | QuarantineRecord::Ended { .. }
@@ -71,7 +71,7 @@
     };
     let cleared = QuarantineRecord::Cleared {
         print,
-        lives: request.upstreams,
+        incarnations: request.upstreams,
     };
     let drawn: u64 = rand::random();
     let txn = StoreTxn {
@@ -107,7 +107,11 @@
         Err(error) => return Ok(refused(&error)),
     };
     let lines = held.iter().map(|request| {
-        let upstreams: Vec<&str> = request.upstreams.iter().map(UpstreamLife::as_str).collect();
+        let upstreams: Vec<&str> = request
+            .upstreams
+            .iter()
+            .map(UpstreamIncarnation::as_str)
+            .collect();
         let (print, since) = (&request.print, request.since.0);
         format!("{print} since {since}: {}", upstreams.join(" "))
     });
--- a/crates/ctl/tests/quarantine.rs
+++ b/crates/ctl/tests/quarantine.rs
@@ -14,8 +14,8 @@
 use bergamot_site_standin::{SiteStoreOptions, SiteStoreStandin};
 use bergamot_types::prelude::*;
 
-fn life(number: u64) -> UpstreamLife {
-    UpstreamLife::new(
+fn incarnation(number: u64) -> UpstreamIncarnation {
+    UpstreamIncarnation::new(
         UpstreamId::new(&format!("u{number}")),
         Some(UnixMillis(number)),
     )
@@ -66,14 +66,14 @@
     };
     for number in 1..=3 {
         let end = QuarantineRecord::End {
-            life: life(number),
+            incarnation: incarnation(number),
             prints: vec![print()],
         };
         put(&crash_key(&VmId::new("entry-1"), 7, number), &end);
     }
     let held = QuarantineRecord::Quarantined {
         print: print(),
-        lives: (1..=3).map(life).collect(),
+        incarnations: (1..=3).map(incarnation).collect(),
         since: UnixMillis(1_700_000_000_000),
     };
     put(&quarantine_key(print()), &held);
@@ -90,7 +90,7 @@
     // It ends three more.
     for number in 4..=6 {
         let end = QuarantineRecord::End {
-            life: life(number),
+            incarnation: incarnation(number),
             prints: vec![print()],
         };
         put(&crash_key(&VmId::new("entry-1"), 7, number), &end);
--- a/crates/entry/src/front/breaks.rs
+++ b/crates/entry/src/front/breaks.rs
@@ -53,9 +53,9 @@
     /// Finds out whether an upstream ended at which the request was broken off after so many events had come from its run.
     pub async fn note_break(&self, fact: &RunnerFact, events: u32) {
         let shared = &self.front.shared;
-        let life = life_of(fact);
+        let incarnation = incarnation_of(fact);
         let broken = QuarantineEvent::Broken {
-            life: &life,
+            incarnation: &incarnation,
             run: BrokenRun {
                 print: self.spec.print,
                 events,
@@ -68,7 +68,7 @@
         }
         let evidence = EndEvidence::NoListener;
         let ended = QuarantineEvent::Ended {
-            life: &life,
+            incarnation: &incarnation,
             evidence,
         };
         handle(shared, ended);
@@ -84,9 +84,9 @@
 }
 
 /// A group of another epoch is another run: its leader has started again, or others are in it.
-fn life_of(fact: &RunnerFact) -> UpstreamLife {
+fn incarnation_of(fact: &RunnerFact) -> UpstreamIncarnation {
     let id = format!("{}.{}", fact.id, fact.epoch);
-    UpstreamLife::new(UpstreamId::new(&id), None)
+    UpstreamIncarnation::new(UpstreamId::new(&id), None)
 }
 
 async fn is_refused(addr: SocketAddr) -> bool {
@@ -100,12 +100,19 @@
     for action in actions {
         match action {
             QuarantineAction::Keep(record) => tell_members(shared, &record),
-            QuarantineAction::NoteEnd { life, evidence } => {
-                log::info!("event=upstream_ended upstream={life} evidence={evidence}");
+            QuarantineAction::NoteEnd {
+                incarnation,
+                evidence,
+            } => {
+                log::info!("event=upstream_ended upstream={incarnation} evidence={evidence}");
             }
-            QuarantineAction::NoteStrike { run, life, ends } => {
+            QuarantineAction::NoteStrike {
+                run,
+                incarnation,
+                ends,
+            } => {
                 log::info!(
-                    "event=request_struck print={} upstream={life} events={} ends={ends}",
+                    "event=request_struck print={} upstream={incarnation} events={} ends={ends}",
                     run.print,
                     run.events
                 );
--- a/crates/gateway/src/front/attempt.rs
+++ b/crates/gateway/src/front/attempt.rs
@@ -160,20 +160,29 @@
     let sent_at = run.at;
     let flight = FlightGuard::enter(
         &front.book,
-        &upstream.life,
+        &upstream.incarnation,
         request.call.model.as_ref(),
         request.call.prompt_tokens(),
         sent_at,
     );
-    let connecting = ConnectGuard::enter(&front.book, &upstream.life, sent_at);
-    let connection = front.pool.connect(&upstream.life, upstream.addr).await;
+    let connecting = ConnectGuard::enter(&front.book, &upstream.incarnation, sent_at);
+    let connection = front
+        .pool
+        .connect(&upstream.incarnation, upstream.addr)
+        .await;
     drop(connecting);
     let connected = front.now().since(sent_at);
     match &connection {
-        Ok(_) => front.book.borrow_mut().note_connected(&upstream.life),
+        Ok(_) => front
+            .book
+            .borrow_mut()
+            .note_connected(&upstream.incarnation),
         Err(_) => {
             let now = front.now();
-            front.book.borrow_mut().note_unreached(&upstream.life, now);
+            front
+                .book
+                .borrow_mut()
+                .note_unreached(&upstream.incarnation, now);
         }
     }
     let mut connection = connection.map_err(|error| match error {
@@ -181,11 +190,13 @@
         ConnectError::Failed(reason) => AttemptError::NotSent(reason),
     })?;
     if !may_send(front, request, upstream, permit) {
-        front.pool.give_back(&upstream.life, connection, None);
+        front
+            .pool
+            .give_back(&upstream.incarnation, connection, None);
         return Err(AttemptError::HeldBack);
     }
     let context = OutgoingContext {
-        upstream: &upstream.life.id,
+        upstream: &upstream.incarnation.id,
         account: request.account.as_ref(),
         time_left,
         priority: request.priority,
@@ -213,7 +224,7 @@
     // Another upstream may have answered that another one was meant.
     if !facts.is_misdirected {
         note_limit(front, upstream, &facts, sent_at + connected);
-        note_gate(front, &upstream.life, &facts);
+        note_gate(front, &upstream.incarnation, &facts);
     }
     let back_off = facts
         .back_off
@@ -251,7 +262,7 @@
     keep_alive: Option<u64>,
 ) {
     let pool = std::rc::Rc::clone(&front.pool);
-    let id = upstream.life.clone();
+    let id = upstream.incarnation.clone();
     tokio::task::spawn_local(async move {
         let rest = http_body_util::BodyExt::collect(body);
         let rest = tokio::time::timeout(REFUSAL_REST, rest).await;
--- a/crates/gateway/src/front/breaks.rs
+++ b/crates/gateway/src/front/breaks.rs
@@ -37,14 +37,21 @@
 ) where
     Dialect: 'static,
 {
-    let life = &upstream.life;
-    if !is_staying(front, life) {
+    let incarnation = &upstream.incarnation;
+    if !is_staying(front, incarnation) {
         return;
     }
     let print = request.print();
     let is_on_edge = front.shared.quarantine.lock().is_on_edge(print);
     let run = BrokenRun { print, events };
-    let must_probe = handle(front, QuarantineEvent::Broken { life, run, cause });
+    let must_probe = handle(
+        front,
+        QuarantineEvent::Broken {
+            incarnation,
+            run,
+            cause,
+        },
+    );
     if is_on_edge {
         let (front_of_probe, upstream) = (Rc::clone(front), upstream.clone());
         // On a task of its own, as it is to be found out also where the caller leaves meanwhile.
@@ -66,13 +73,20 @@
 pub fn note_left<Dialect>(
     front: &FrontContext<Dialect>,
     request: &SentRequest,
-    life: &UpstreamLife,
+    incarnation: &UpstreamIncarnation,
     events: u32,
 ) {
-    if is_staying(front, life) {
+    if is_staying(front, incarnation) {
         let print = request.print();
         let (run, cause) = (BrokenRun { print, events }, BreakCause::Left);
-        handle(front, QuarantineEvent::Broken { life, run, cause });
+        handle(
+            front,
+            QuarantineEvent::Broken {
+                incarnation,
+                run,
+                cause,
+            },
+        );
     }
 }
 
@@ -81,7 +95,7 @@
 pub struct LeftGuard<'a, Dialect> {
     front: &'a FrontContext<Dialect>,
     request: &'a SentRequest,
-    life: &'a UpstreamLife,
+    incarnation: &'a UpstreamIncarnation,
     has_ended: bool,
 }
 
@@ -90,12 +104,12 @@
     pub fn new(
         front: &'a FrontContext<Dialect>,
         request: &'a SentRequest,
-        life: &'a UpstreamLife,
+        incarnation: &'a UpstreamIncarnation,
     ) -> Self {
         Self {
             front,
             request,
-            life,
+            incarnation,
             has_ended: false,
         }
     }
@@ -109,7 +123,7 @@
 impl<Dialect> Drop for LeftGuard<'_, Dialect> {
     fn drop(&mut self) {
         if !self.has_ended {
-            note_left(self.front, self.request, self.life, 0);
+            note_left(self.front, self.request, self.incarnation, 0);
         }
     }
 }
@@ -128,21 +142,25 @@
 }
 
 /// Whether an upstream is in the directory and has said neither there nor in an answer that it leaves: the end of one that leaves is planned.
-pub fn is_staying<Dialect>(front: &FrontContext<Dialect>, life: &UpstreamLife) -> bool {
+pub fn is_staying<Dialect>(
+    front: &FrontContext<Dialect>,
+    incarnation: &UpstreamIncarnation,
+) -> bool {
     let view = front.shared.view.load();
-    let entry = view.upstreams.get(&life.id);
-    let is_listed =
-        entry.is_some_and(|entry| entry.life == *life && entry.state != UpstreamState::Draining);
-    is_listed && !front.book.borrow().gates.is_leaving(life)
+    let entry = view.upstreams.get(&incarnation.id);
+    let is_listed = entry.is_some_and(|entry| {
+        entry.incarnation == *incarnation && entry.state != UpstreamState::Draining
+    });
+    is_listed && !front.book.borrow().gates.is_leaving(incarnation)
 }
 
 /// Finds out whether anything listens where a request was broken off. One connection for each end that is
 /// suspected; where something listens, the next request there uses it.
 async fn probe<Dialect>(front: &FrontContext<Dialect>, upstream: &RouteUpstream) {
-    let life = &upstream.life;
+    let incarnation = &upstream.incarnation;
     match front.pool.connect_new(upstream.addr).await {
-        Ok(connection) => front.pool.give_back(life, connection, None),
-        Err(ConnectError::Refused(_)) => note_no_listener(front, life).await,
+        Ok(connection) => front.pool.give_back(incarnation, connection, None),
+        Err(ConnectError::Refused(_)) => note_no_listener(front, incarnation).await,
         // Nobody answers: the directory may tell later.
         Err(ConnectError::Failed(_)) => {}
     }
@@ -151,30 +169,42 @@
 /// Notes that nothing listens where an upstream was, if requests were broken off there and its failure domain is within
 /// reach. What a partition refuses is no end: in one that did, seven requests were held back and one was put in
 /// quarantine within half a second (29 VMs cut off from 110 upstreams; from the logs of a day).
-pub async fn note_no_listener<Dialect>(front: &FrontContext<Dialect>, life: &UpstreamLife) {
-    if !front.shared.quarantine.lock().is_awaited(life) {
+pub async fn note_no_listener<Dialect>(
+    front: &FrontContext<Dialect>,
+    incarnation: &UpstreamIncarnation,
+) {
+    if !front.shared.quarantine.lock().is_awaited(incarnation) {
         return;
     }
-    if !is_domain_reached(front, life).await {
+    if !is_domain_reached(front, incarnation).await {
         log::info!(
-            "event=end_not_counted upstream={life} reason=\"nothing of its failure domain listens\""
+            "event=end_not_counted upstream={incarnation} reason=\"nothing of its failure domain listens\""
         );
         return;
     }
     let evidence = EndEvidence::NoListener;
-    handle(front, QuarantineEvent::Ended { life, evidence });
+    handle(
+        front,
+        QuarantineEvent::Ended {
+            incarnation,
+            evidence,
+        },
+    );
 }
 
 /// Whether other upstreams of an upstream's failure domain take connections. True where there are none to ask.
-async fn is_domain_reached<Dialect>(front: &FrontContext<Dialect>, life: &UpstreamLife) -> bool {
+async fn is_domain_reached<Dialect>(
+    front: &FrontContext<Dialect>,
+    incarnation: &UpstreamIncarnation,
+) -> bool {
     let addrs = {
         let view = front.shared.view.load();
-        let Some(entry) = view.upstreams.get(&life.id) else {
+        let Some(entry) = view.upstreams.get(&incarnation.id) else {
             return true;
         };
         let beside = view.upstreams.values().filter(|it| {
             let is_near = it.failure_domain == entry.failure_domain;
-            is_near && it.life.id != life.id && it.state != UpstreamState::Draining
+            is_near && it.incarnation.id != incarnation.id && it.state != UpstreamState::Draining
         });
         beside
             .map(|it| it.addr)
@@ -196,14 +226,21 @@
     for action in actions {
         match action {
             QuarantineAction::Probe(_) => must_probe = true,
-            QuarantineAction::NoteEnd { life, evidence } => {
+            QuarantineAction::NoteEnd {
+                incarnation,
+                evidence,
+            } => {
                 let ends = &front.shared.metrics.upstream_ends;
                 ends.with_label_values(&[evidence.as_str()]).inc();
-                log::info!("event=upstream_ended upstream={life} evidence={evidence}");
+                log::info!("event=upstream_ended upstream={incarnation} evidence={evidence}");
             }
-            QuarantineAction::NoteStrike { run, life, ends } => {
+            QuarantineAction::NoteStrike {
+                run,
+                incarnation,
+                ends,
+            } => {
                 log::info!(
-                    "event=request_struck print={} upstream={life} events={} ends={ends}",
+                    "event=request_struck print={} upstream={incarnation} events={} ends={ends}",
                     run.print,
                     run.events
                 );
--- a/crates/gateway/src/front/call.rs
+++ b/crates/gateway/src/front/call.rs
@@ -110,7 +110,7 @@
                     request.call.id,
                     request.print(),
                     state.route.name,
-                    planned.upstream.life,
+                    planned.upstream.incarnation,
                     state.sends(),
                     error.as_str(),
                     front.now().since(state.arrived),
@@ -172,7 +172,7 @@
     Dialect: CallerDialect + 'static,
 {
     let clock = front.shared.clock;
-    let guard = LeftGuard::new(front, request, &reply.upstream.life);
+    let guard = LeftGuard::new(front, request, &reply.upstream.incarnation);
     let body = before(clock, state.deadline, reply.body.collect()).await;
     match &body {
         Ok(_) => guard.end(),
@@ -184,7 +184,7 @@
         front
             .book
             .borrow_mut()
-            .note_failure(&reply.upstream.life, now);
+            .note_failure(&reply.upstream.incarnation, now);
         TryOutcome::Failed(AttemptError::Broken(reason))
     };
     let body = match body {
@@ -195,7 +195,7 @@
         }
         Err(_) => return broken("the answer did not end before the deadline".to_owned()),
     };
-    let (id, keep_alive) = (&reply.upstream.life, reply.facts.keep_alive);
+    let (id, keep_alive) = (&reply.upstream.incarnation, reply.facts.keep_alive);
     front.pool.give_back(id, reply.connection, keep_alive);
     let is_failure = reply.head.status.is_server_error();
     if !is_failure && !reply.facts.is_signed && reply.head.status.is_success() {
--- a/crates/gateway/src/front/ends.rs
+++ b/crates/gateway/src/front/ends.rs
@@ -22,17 +22,25 @@
     while changes.changed().await.is_ok() {
         let view = front.shared.view.load_full();
         let awaited = front.shared.quarantine.lock().awaited();
-        for life in &awaited {
-            let evidence = match view.upstreams.get(&life.id) {
+        for incarnation in &awaited {
+            let evidence = match view.upstreams.get(&incarnation.id) {
                 None => EndEvidence::Unlisted,
-                Some(entry) if entry.life.is_younger_than(life) => EndEvidence::Restarted,
+                Some(entry) if entry.incarnation.is_newer_than(incarnation) => {
+                    EndEvidence::Restarted
+                }
                 Some(entry) if entry.state == UpstreamState::Draining => {
-                    handle(&front, QuarantineEvent::Leaving(life));
+                    handle(&front, QuarantineEvent::Leaving(incarnation));
                     continue;
                 }
                 Some(_) => continue,
             };
-            handle(&front, QuarantineEvent::Ended { life, evidence });
+            handle(
+                &front,
+                QuarantineEvent::Ended {
+                    incarnation,
+                    evidence,
+                },
+            );
         }
     }
 }
@@ -48,12 +56,18 @@
             fresh_since = now;
         }
         let due = front.shared.quarantine.lock().to_review(now, fresh_since);
-        for life in &due {
-            let is_named = is_staying(&front, life);
+        for incarnation in &due {
+            let is_named = is_staying(&front, incarnation);
             if is_named {
-                log::info!("event=upstream_not_ended upstream={life}");
+                log::info!("event=upstream_not_ended upstream={incarnation}");
             }
-            handle(&front, QuarantineEvent::Reviewed { life, is_named });
+            handle(
+                &front,
+                QuarantineEvent::Reviewed {
+                    incarnation,
+                    is_named,
+                },
+            );
         }
     }
 }
--- a/crates/gateway/src/front/flight.rs
+++ b/crates/gateway/src/front/flight.rs
@@ -10,20 +10,24 @@
 #[derive(Debug)]
 pub struct ConnectGuard<'a> {
     book: &'a RefCell<UpstreamBook>,
-    life: &'a UpstreamLife,
+    incarnation: &'a UpstreamIncarnation,
 }
 
 impl<'a> ConnectGuard<'a> {
     /// Counts one that is about to be set up.
-    pub fn enter(book: &'a RefCell<UpstreamBook>, life: &'a UpstreamLife, now: Millis) -> Self {
-        book.borrow_mut().note_connecting(life, now);
-        Self { book, life }
+    pub fn enter(
+        book: &'a RefCell<UpstreamBook>,
+        incarnation: &'a UpstreamIncarnation,
+        now: Millis,
+    ) -> Self {
+        book.borrow_mut().note_connecting(incarnation, now);
+        Self { book, incarnation }
     }
 }
 
 impl Drop for ConnectGuard<'_> {
     fn drop(&mut self) {
-        self.book.borrow_mut().note_connect_ended(self.life);
+        self.book.borrow_mut().note_connect_ended(self.incarnation);
     }
 }
 
@@ -31,7 +35,7 @@
 #[derive(Debug)]
 pub struct FlightGuard {
     book: Rc<RefCell<UpstreamBook>>,
-    life: UpstreamLife,
+    incarnation: UpstreamIncarnation,
     /// Tokens of its prompt.
     prompt: u32,
     has_begun: bool,
@@ -41,15 +45,15 @@
     /// Counts a request for a model with so many prompt tokens that is about to be sent.
     pub fn enter(
         book: &Rc<RefCell<UpstreamBook>>,
-        life: &UpstreamLife,
+        incarnation: &UpstreamIncarnation,
         model: Option<&ModelName>,
         prompt: u32,
         now: Millis,
     ) -> Self {
-        book.borrow_mut().note_sent(life, model, prompt, now);
+        book.borrow_mut().note_sent(incarnation, model, prompt, now);
         Self {
             book: Rc::clone(book),
-            life: life.clone(),
+            incarnation: incarnation.clone(),
             prompt,
             has_begun: false,
         }
@@ -59,7 +63,9 @@
     pub fn note_begun(&mut self) {
         if !self.has_begun {
             self.has_begun = true;
-            self.book.borrow_mut().note_begun(&self.life, self.prompt);
+            self.book
+                .borrow_mut()
+                .note_begun(&self.incarnation, self.prompt);
         }
     }
 }
@@ -67,6 +73,6 @@
 impl Drop for FlightGuard {
     fn drop(&mut self) {
         let mut book = self.book.borrow_mut();
-        book.note_ended(&self.life, self.has_begun, self.prompt);
+        book.note_ended(&self.incarnation, self.has_begun, self.prompt);
     }
 }
--- a/crates/gateway/src/front/gates.rs
+++ b/crates/gateway/src/front/gates.rs
@@ -8,27 +8,37 @@
 use super::breaks::handle;
 
 /// Takes in what an upstream's answer says of that. The VM's own clock goes on while it is suspended, as that time does.
-pub fn note_gate<Dialect>(front: &FrontContext<Dialect>, life: &UpstreamLife, facts: &ReplyFacts) {
+pub fn note_gate<Dialect>(
+    front: &FrontContext<Dialect>,
+    incarnation: &UpstreamIncarnation,
+    facts: &ReplyFacts,
+) {
     match facts.back_off {
         Ok(None) => {}
-        Ok(Some(time)) => note_back_off(front, life, time),
-        Err(error) => log::warn!("event=back_off_unreadable upstream={life} reason=\"{error}\""),
+        Ok(Some(time)) => note_back_off(front, incarnation, time),
+        Err(error) => {
+            log::warn!("event=back_off_unreadable upstream={incarnation} reason=\"{error}\"")
+        }
     }
     if facts.is_leaving {
-        note_leaving(front, life);
+        note_leaving(front, incarnation);
     }
 }
 
-fn note_leaving<Dialect>(front: &FrontContext<Dialect>, life: &UpstreamLife) {
+fn note_leaving<Dialect>(front: &FrontContext<Dialect>, incarnation: &UpstreamIncarnation) {
     let now = front.now();
-    if front.book.borrow_mut().gates.leave(life, now) {
-        log::info!("event=upstream_leaves upstream={life}");
+    if front.book.borrow_mut().gates.leave(incarnation, now) {
+        log::info!("event=upstream_leaves upstream={incarnation}");
         // What is cut at its end is cut by the end of a planned stop.
-        handle(front, QuarantineEvent::Leaving(life));
+        handle(front, QuarantineEvent::Leaving(incarnation));
     }
 }
 
-fn note_back_off<Dialect>(front: &FrontContext<Dialect>, life: &UpstreamLife, time: Millis) {
+fn note_back_off<Dialect>(
+    front: &FrontContext<Dialect>,
+    incarnation: &UpstreamIncarnation,
+    time: Millis,
+) {
     if time == Millis::ZERO {
         return;
     }
@@ -37,9 +47,9 @@
         .book
         .borrow_mut()
         .gates
-        .back_off(life, now + time, now);
+        .back_off(incarnation, now + time, now);
     if is_new {
-        log::info!("event=upstream_backs_off upstream={life} time={time}");
+        log::info!("event=upstream_backs_off upstream={incarnation} time={time}");
     }
     show_backing_off(front);
 }
--- a/crates/gateway/src/front/limits.rs
+++ b/crates/gateway/src/front/limits.rs
@@ -15,13 +15,13 @@
     facts: &ReplyFacts,
     sent_at: Millis,
 ) {
-    let life = &upstream.life;
+    let incarnation = &upstream.incarnation;
     let rate = match facts.send_limit {
         Ok(rate) => rate,
         Err(error) => {
             let mut quota = front.quota.borrow_mut();
-            if quota.limits_mut().note_unreadable(life, error) {
-                log::warn!("event=limit_unreadable upstream={life} reason=\"{error}\"");
+            if quota.limits_mut().note_unreadable(incarnation, error) {
+                log::warn!("event=limit_unreadable upstream={incarnation} reason=\"{error}\"");
             }
             return;
         }
@@ -46,7 +46,7 @@
 /// An upstream as its quota goes by it.
 pub fn place_of(upstream: &RouteUpstream) -> QuotaPlace<'_> {
     QuotaPlace {
-        life: &upstream.life,
+        incarnation: &upstream.incarnation,
         failure_domain: &upstream.failure_domain,
     }
 }
@@ -56,13 +56,15 @@
     let mut answers = Vec::new();
     for action in actions {
         match action {
-            QuotaAction::NoteChange(life, change) => note_change(front, &life, change),
+            QuotaAction::NoteChange(incarnation, change) => {
+                note_change(front, &incarnation, change)
+            }
             QuotaAction::Tell(report) => front.tell_quota(QuotaNews::Report(report)),
             QuotaAction::HoldBack {
-                life,
+                incarnation,
                 priority,
                 wait,
-            } => hold_back(front, &life, priority, wait),
+            } => hold_back(front, &incarnation, priority, wait),
             QuotaAction::Answer { .. } => answers.push(action),
         }
     }
@@ -72,23 +74,27 @@
 /// Sends nothing there for a while that is no more urgent.
 pub fn hold_back<Dialect>(
     front: &FrontContext<Dialect>,
-    life: &UpstreamLife,
+    incarnation: &UpstreamIncarnation,
     priority: u8,
     wait: Millis,
 ) {
     let now = front.now();
     let gates = &mut front.book.borrow_mut().gates;
-    gates.hold_back(life, priority, now + wait, now);
+    gates.hold_back(incarnation, priority, now + wait, now);
 }
 
-fn note_change<Dialect>(front: &FrontContext<Dialect>, life: &UpstreamLife, change: LimitChange) {
+fn note_change<Dialect>(
+    front: &FrontContext<Dialect>,
+    incarnation: &UpstreamIncarnation,
+    change: LimitChange,
+) {
     match change {
         LimitChange::Named(rate) => {
-            log::info!("event=upstream_limited upstream={life} rate={rate}");
+            log::info!("event=upstream_limited upstream={incarnation} rate={rate}");
         }
         LimitChange::Ended => {
-            front.book.borrow_mut().gates.release(life);
-            log::info!("event=upstream_unlimited upstream={life}");
+            front.book.borrow_mut().gates.release(incarnation);
+            log::info!("event=upstream_unlimited upstream={incarnation}");
         }
     }
     show_limited(front);
--- a/crates/gateway/src/front/open.rs
+++ b/crates/gateway/src/front/open.rs
@@ -31,12 +31,12 @@
 {
     let upstream = &planned.upstream;
     let left = state.deadline.since(front.now());
-    state.tried.push(upstream.life.clone());
-    state.trace.note_sent(&upstream.life);
+    state.tried.push(upstream.incarnation.clone());
+    state.trace.note_sent(&upstream.incarnation);
     let run = sent_run(front, request, state, upstream);
     let permit = planned.permit;
     let sent = send(front, request, upstream, permit, run, left, resume_after);
-    let guard = LeftGuard::new(front, request, &upstream.life);
+    let guard = LeftGuard::new(front, request, &upstream.incarnation);
     let (outcome, cause) = match await_head(front, request, state, run, upstream, sent).await {
         Ok(outcome) => (outcome, BreakCause::Closed),
         Err(reason) => (Err(AttemptError::Broken(reason)), BreakCause::Silent),
@@ -53,7 +53,7 @@
         (Err(AttemptError::Broken(_)), BreakCause::Closed)
     );
     if is_closed {
-        state.closed_at.push(upstream.life.clone());
+        state.closed_at.push(upstream.incarnation.clone());
     }
     look_for_end(front, request, state, upstream, &outcome, cause).await;
     let has_arrived = match &outcome {
@@ -66,7 +66,7 @@
         false => give_repeat_back(front, state),
     }
     if outcome.is_ok() {
-        state.run_at.push(upstream.life.clone());
+        state.run_at.push(upstream.incarnation.clone());
     }
     outcome
 }
@@ -97,8 +97,8 @@
 {
     match outcome {
         Err(AttemptError::NoListener(_)) => {
-            let (front, life) = (Rc::clone(front), upstream.life.clone());
-            tokio::task::spawn_local(async move { note_no_listener(&front, &life).await });
+            let (front, incarnation) = (Rc::clone(front), upstream.incarnation.clone());
+            tokio::task::spawn_local(async move { note_no_listener(&front, &incarnation).await });
         }
         Err(error) if error.may_have_run() && front.now() < state.deadline => {
             note_break(front, request, upstream, 0, cause).await;
@@ -167,22 +167,22 @@
     let is_engine = upstream.group.is_some();
     let mut book = front.book.borrow_mut();
     match outcome {
-        Ok(_) => book.note_progress(&upstream.life, now),
+        Ok(_) => book.note_progress(&upstream.incarnation, now),
         Err(error) => {
             match error {
                 // It is sound, and says itself when to come back.
                 AttemptError::HeldBack | AttemptError::BackingOff(_) => return,
                 // Nothing answers there: others will wait as long in vain.
                 AttemptError::NotSent(_) | AttemptError::Misdirected if is_engine => {
-                    book.note_quiet(&upstream.life, now);
+                    book.note_quiet(&upstream.incarnation, now);
                 }
-                _ => book.note_failure(&upstream.life, now),
+                _ => book.note_failure(&upstream.incarnation, now),
             }
             if error.may_have_run() {
-                state.run_at.push(upstream.life.clone());
+                state.run_at.push(upstream.incarnation.clone());
             }
             if matches!(error, AttemptError::Refused(_)) {
-                book.decrease(&upstream.life, upstream.slots);
+                book.decrease(&upstream.incarnation, upstream.slots);
             }
             if matches!(
                 error,
--- a/crates/gateway/src/front/permits.rs
+++ b/crates/gateway/src/front/permits.rs
@@ -89,7 +89,7 @@
         PermitStep::Free => return Some(SendPermit::Free),
         PermitStep::Granted => Some(SendPermit::Given(now)),
         PermitStep::Later(wait) => {
-            hold_back(front, &upstream.life, claim.priority, wait);
+            hold_back(front, &upstream.incarnation, claim.priority, wait);
             None
         }
         PermitStep::Ask { owner, question } => ask_owner(front, owner, question).await,
@@ -117,7 +117,7 @@
     question: PermitQuestion,
 ) -> Option<SendPermit> {
     let number = question.number;
-    let life = question.report.life.clone();
+    let incarnation = question.report.incarnation.clone();
     let asked_of = owner.clone();
     // The owner gave it at some moment from now on; the process may be suspended before it sees the answer.
     let asked_at = front.now();
@@ -136,7 +136,7 @@
             let event = QuotaEvent::Unanswered(number);
             let actions = front.quota.borrow_mut().handle(front.now(), event);
             act(front, actions);
-            log::info!("event=permit_unanswered upstream={life} owner={asked_of}");
+            log::info!("event=permit_unanswered upstream={incarnation} owner={asked_of}");
             None
         }
     }
@@ -162,12 +162,17 @@
     permit: SendPermit,
 ) -> bool {
     let now = front.now();
-    let is_limited = front.quota.borrow().limits().rate(&upstream.life).is_some();
+    let is_limited = front
+        .quota
+        .borrow()
+        .limits()
+        .rate(&upstream.incarnation)
+        .is_some();
     let gate = front
         .book
         .borrow()
         .gates
-        .state(&upstream.life, request.priority, now);
+        .state(&upstream.incarnation, request.priority, now);
     let is_closed = !matches!(gate, GateState::Open | GateState::Limited(_));
     permit.holds(is_limited, now) && !is_closed
 }
--- a/crates/gateway/src/front/plan.rs
+++ b/crates/gateway/src/front/plan.rs
@@ -207,9 +207,12 @@
 ) -> usize {
     let quarantine = front.shared.quarantine.lock();
     // One that only left the directory may run on: it leaves without a word, or is cut off from the store.
-    let is_gone = |life: &UpstreamLife| state.closed_at.contains(life) && !view.is_listed(life);
+    let is_gone = |incarnation: &UpstreamIncarnation| {
+        state.closed_at.contains(incarnation) && !view.is_listed(incarnation)
+    };
     let runs = state.run_at.iter();
-    let counted = runs.filter(|life| !quarantine.has_ended(life) && !is_gone(life));
+    let counted =
+        runs.filter(|incarnation| !quarantine.has_ended(incarnation) && !is_gone(incarnation));
     counted.count()
 }
 
--- a/crates/gateway/src/front/pool.rs
+++ b/crates/gateway/src/front/pool.rs
@@ -62,7 +62,7 @@
 pub struct ConnectionPool {
     /// Upstreams go on closing idle connections while this VM is suspended.
     clock: BootClock,
-    idle: RefCell<IndexMap<UpstreamLife, Vec<IdleConnection>>>,
+    idle: RefCell<IndexMap<UpstreamIncarnation, Vec<IdleConnection>>>,
 }
 
 impl ConnectionPool {
@@ -80,10 +80,10 @@
     /// See [`ConnectError`]; nothing was sent.
     pub async fn connect(
         &self,
-        life: &UpstreamLife,
+        incarnation: &UpstreamIncarnation,
         addr: SocketAddr,
     ) -> Result<UpstreamConnection, ConnectError> {
-        match self.take_idle(life) {
+        match self.take_idle(incarnation) {
             Some(connection) => Ok(connection),
             None => self.connect_new(addr).await,
         }
@@ -101,18 +101,18 @@
     }
 
     /// Upstreams to which a connection is open that nobody uses.
-    pub fn idle(&self) -> Vec<UpstreamLife> {
+    pub fn idle(&self) -> Vec<UpstreamIncarnation> {
         let now = self.clock.now();
         let pool = self.idle.borrow();
         let usable = pool
             .iter()
             .filter(|(_, idle)| idle.iter().any(|it| it.expires_at > now));
-        usable.map(|(life, _)| life.clone()).collect()
+        usable.map(|(incarnation, _)| incarnation.clone()).collect()
     }
 
-    fn take_idle(&self, life: &UpstreamLife) -> Option<UpstreamConnection> {
+    fn take_idle(&self, incarnation: &UpstreamIncarnation) -> Option<UpstreamConnection> {
         let mut pool = self.idle.borrow_mut();
-        let idle = pool.get_mut(life)?;
+        let idle = pool.get_mut(incarnation)?;
         let now = self.clock.now();
         while let Some(last) = idle.pop() {
             let is_usable = last.expires_at > now
@@ -129,7 +129,7 @@
     /// seconds.
     pub fn give_back(
         self: &Rc<Self>,
-        life: &UpstreamLife,
+        incarnation: &UpstreamIncarnation,
         mut connection: UpstreamConnection,
         keep_alive: Option<u64>,
     ) {
@@ -137,7 +137,7 @@
         let idle = idle.saturating_sub(IDLE_MARGIN);
         let expires_at = self.clock.now() + Millis(idle.as_millis() as u64);
         let pool = Rc::clone(self);
-        let life = life.clone();
+        let incarnation = incarnation.clone();
         tokio::task::spawn_local(async move {
             // An upstream that closes after its answer, or sent bytes beyond it, never gets ready.
             if connection.sender.ready().await.is_err() {
@@ -147,20 +147,24 @@
                 connection,
                 expires_at,
             };
-            pool.idle.borrow_mut().entry(life).or_default().push(kept);
+            pool.idle
+                .borrow_mut()
+                .entry(incarnation)
+                .or_default()
+                .push(kept);
         });
     }
 
     /// Closes the connections to upstreams that are not listed any more, and those that expired.
     pub fn retain<Keep>(&self, is_listed: Keep)
     where
-        Keep: Fn(&UpstreamLife) -> bool,
+        Keep: Fn(&UpstreamIncarnation) -> bool,
     {
         let now = self.clock.now();
         let mut pool = self.idle.borrow_mut();
-        pool.retain(|life, idle| {
+        pool.retain(|incarnation, idle| {
             idle.retain(|it| it.expires_at > now);
-            is_listed(life) && !idle.is_empty()
+            is_listed(incarnation) && !idle.is_empty()
         });
     }
 }
--- a/crates/gateway/src/front/quiet.rs
+++ b/crates/gateway/src/front/quiet.rs
@@ -25,13 +25,13 @@
         return false;
     }
     let witness = hash_bytes(front.shared.site.vm.as_str().as_bytes()) as u32;
-    let news = book.note_silence(&upstream.life, verdict, witness, now);
-    let load = book.load(&upstream.life);
+    let news = book.note_silence(&upstream.incarnation, verdict, witness, now);
+    let load = book.load(&upstream.incarnation);
     drop(book);
     if news.is_for_coordinator {
         log::info!(
             "event=leader_silent upstream={} verdict={verdict:?} silence={} in_flight={} waited={} expected={}",
-            upstream.life,
+            upstream.incarnation,
             load.silence(now),
             load.in_flight,
             now.since(run.at),
@@ -58,7 +58,7 @@
     if let Err(error) = front.still_news.try_send(silence) {
         log::debug!(
             "event=silence_not_told upstream={} reason={error}",
-            upstream.life
+            upstream.incarnation
         );
     }
 }
@@ -74,13 +74,13 @@
         return;
     }
     let notice = QuietNotice {
-        leader: upstream.life.clone(),
+        leader: upstream.incarnation.clone(),
         is_certain,
     };
     if let Err(error) = front.shared.quiet.try_send(notice) {
         log::debug!(
             "event=quiet_not_passed_on upstream={} reason={error}",
-            upstream.life
+            upstream.incarnation
         );
     }
 }
--- a/crates/gateway/src/front/relay.rs
+++ b/crates/gateway/src/front/relay.rs
@@ -220,7 +220,7 @@
                 Ok(Some(Ok(frame))) => {
                     let now = self.front.now();
                     let mut book = self.front.book.borrow_mut();
-                    book.note_progress(&reply.upstream.life, now);
+                    book.note_progress(&reply.upstream.incarnation, now);
                     drop(book);
                     if let Some(data) = frame.data_ref() {
                         reply.flight.note_begun();
@@ -256,7 +256,7 @@
         let objective = self.state.route.objective;
         let took = now.since(reply.run.at);
         let mut book = self.front.book.borrow_mut();
-        book.note_first(&upstream.life, upstream.slots, took, objective, now);
+        book.note_first(&upstream.incarnation, upstream.slots, took, objective, now);
         if let Some(model) = &self.request.call.model {
             let pace = book.paces.get_mut(model);
             pace.note_first(took, reply.run.expected, upstream.speed, upstream.slots);
@@ -290,7 +290,7 @@
     }
 
     fn finish(&self, reply: OpenReply) {
-        let id = reply.upstream.life.clone();
+        let id = reply.upstream.incarnation.clone();
         self.front.book.borrow_mut().note_success(&id);
         note_whole(&self.front, &self.request, &self.state);
         if let Some(model) = &self.request.call.model {
@@ -308,18 +308,20 @@
     async fn note_broken(&mut self, reply: &OpenReply, cause: BreakCause, reason: &str) {
         let now = self.front.now();
         if cause == BreakCause::Closed {
-            self.state.closed_at.push(reply.upstream.life.clone());
+            self.state
+                .closed_at
+                .push(reply.upstream.incarnation.clone());
         }
         self.front
             .book
             .borrow_mut()
-            .note_failure(&reply.upstream.life, now);
+            .note_failure(&reply.upstream.incarnation, now);
         log::info!(
             "event=stream_broken request={} print={} route={} upstream={} group={} events={} last_event={} reason={reason:?}",
             self.request.call.id,
             self.request.print(),
             self.state.route.name,
-            reply.upstream.life,
+            reply.upstream.incarnation,
             reply
                 .upstream
                 .group
@@ -333,8 +335,8 @@
     }
 
     fn note_left(&self, reply: &OpenReply) {
-        let life = &reply.upstream.life;
-        note_left(&self.front, &self.request, life, self.run_events);
+        let incarnation = &reply.upstream.incarnation;
+        note_left(&self.front, &self.request, incarnation, self.run_events);
     }
 
     /// Opens the rest of the stream at another upstream, for as long as its caller is there. The error is how it ended.
@@ -373,7 +375,7 @@
                     log::info!(
                         "event=stream_resumed request={} upstream={} after={}",
                         self.request.call.id,
-                        upstream.life,
+                        upstream.incarnation,
                         self.last_event.unwrap_or_default()
                     );
                     return Some(reply);
@@ -388,7 +390,7 @@
                     self.request.call.id,
                     self.request.print(),
                     self.state.route.name,
-                    upstream.life,
+                    upstream.incarnation,
                     self.state.sends(),
                     error.as_str(),
                 ),
--- a/crates/gateway/src/front/server.rs
+++ b/crates/gateway/src/front/server.rs
@@ -184,7 +184,7 @@
 /// Forgets what was held against a leader when its group changes.
 pub async fn follow_groups<Dialect>(front: Rc<FrontContext<Dialect>>) {
     let mut changes = front.shared.view_changed.subscribe();
-    let mut known: IndexMap<UpstreamLife, Option<GroupId>> = IndexMap::new();
+    let mut known: IndexMap<UpstreamIncarnation, Option<GroupId>> = IndexMap::new();
     while changes.changed().await.is_ok() {
         let view = front.shared.view.load_full();
         let leaders = view
@@ -192,16 +192,16 @@
             .values()
             .flat_map(|pool| pool.models.values().flatten());
         let now: IndexMap<_, _> = leaders
-            .map(|leader| (leader.life.clone(), leader.group.clone()))
+            .map(|leader| (leader.incarnation.clone(), leader.group.clone()))
             .collect();
         let mut book = front.book.borrow_mut();
         let vms: Vec<&str> = view.entries.keys().map(String::as_str).collect();
         let leaders = view.pools.values();
         let leaders = leaders.flat_map(|pool| pool.models.values().flatten());
         book.share_leaders(leaders, &vms, front.shared.site.vm.as_str());
-        for (life, group) in &now {
-            if known.get(life).is_some_and(|old| old != group) {
-                book.note_regrouped(life);
+        for (incarnation, group) in &now {
+            if known.get(incarnation).is_some_and(|old| old != group) {
+                book.note_regrouped(incarnation);
             }
         }
         known = now;
@@ -213,7 +213,7 @@
     loop {
         tokio::time::sleep(SWEEP_PERIOD).await;
         let view = front.shared.view.load_full();
-        let is_listed = |life: &UpstreamLife| view.is_listed(life);
+        let is_listed = |incarnation: &UpstreamIncarnation| view.is_listed(incarnation);
         front.pool.retain(is_listed);
         let now = front.now();
         front.book.borrow_mut().retain(is_listed, now);
--- a/crates/gateway/src/front/state.rs
+++ b/crates/gateway/src/front/state.rs
@@ -18,13 +18,13 @@
     /// When it must have its final answer.
     pub deadline: Millis,
     /// Runs of upstreams that it was sent to.
-    pub tried: Vec<UpstreamLife>,
+    pub tried: Vec<UpstreamIncarnation>,
     /// How often it reached one, run or not.
     pub arrivals: usize,
     /// Of these, where it may have run.
-    pub run_at: Vec<UpstreamLife>,
+    pub run_at: Vec<UpstreamIncarnation>,
     /// Of these, where the connection ended before the answer did.
-    pub closed_at: Vec<UpstreamLife>,
+    pub closed_at: Vec<UpstreamIncarnation>,
     /// When the repeat that is being sent was taken from the budget; none for the first send.
     pub repeat_taken: Option<Millis>,
     /// Follows it to the end of its answer.
@@ -49,6 +49,6 @@
 
     /// The upstream that it was last sent to.
     pub fn last_upstream(&self) -> &str {
-        self.tried.last().map_or("-", UpstreamLife::as_str)
+        self.tried.last().map_or("-", UpstreamIncarnation::as_str)
     }
 }
--- a/crates/gateway/src/front/trace.rs
+++ b/crates/gateway/src/front/trace.rs
@@ -16,7 +16,7 @@
     shared: Arc<SharedState>,
     arrived: Millis,
     id: OnceCell<RequestId>,
-    upstream: RefCell<Option<UpstreamLife>>,
+    upstream: RefCell<Option<UpstreamIncarnation>>,
     is_whole: Cell<bool>,
 }
 
@@ -43,7 +43,7 @@
     }
 
     /// Notes that it is about to be sent to an upstream.
-    pub fn note_sent(&self, upstream: &UpstreamLife) {
+    pub fn note_sent(&self, upstream: &UpstreamIncarnation) {
         *self.upstream.borrow_mut() = Some(upstream.clone());
     }
 
@@ -68,7 +68,7 @@
             self.upstream
                 .borrow()
                 .as_ref()
-                .map_or("-", UpstreamLife::as_str),
+                .map_or("-", UpstreamIncarnation::as_str),
             now.since(self.arrived),
         );
     }
--- a/crates/gateway/src/group_actions.rs
+++ b/crates/gateway/src/group_actions.rs
@@ -33,7 +33,7 @@
     /// An order, and what became of it.
     Ordered(OrderRequest, OrderOutcome),
     /// A question to an upstream, and what became of it.
-    Asked(UpstreamLife, AskOutcome),
+    Asked(UpstreamIncarnation, AskOutcome),
     /// Members of a group that were to be held, and whether they are.
     Held(GroupId, Vec<UpstreamId>, bool),
 }
@@ -98,19 +98,19 @@
                 Err(ControlError::Silent(reason)) => {
                     log::info!(
                         "event=report_missing upstream={} reason={reason:?}",
-                        target.life
+                        target.incarnation
                     );
                     AskOutcome::Silent
                 }
                 Err(ControlError::Malformed(reason)) => {
                     log::warn!(
                         "event=report_unreadable upstream={} reason={reason:?}",
-                        target.life
+                        target.incarnation
                     );
                     AskOutcome::Silent
                 }
             };
-            DoneAction::Asked(target.life, outcome)
+            DoneAction::Asked(target.incarnation, outcome)
         }
     }
 }
@@ -158,7 +158,7 @@
             let order = request.order.as_str();
             log::info!(
                 "event=order upstream={} order={order} group={} fence={} expected={:?} outcome={outcome:?}",
-                request.target.life,
+                request.target.incarnation,
                 request.order.group().map_or("", |group| group.as_str()),
                 request.fence,
                 request.expected,
--- a/crates/gateway/src/known.rs
+++ b/crates/gateway/src/known.rs
@@ -122,16 +122,18 @@
     /// Takes over an upstream's entry, unless a later run of it is known: a write of the earlier one may arrive
     /// late.
     fn apply_entry(&mut self, entry: UpstreamEntry, revision: u64) {
-        let id = &entry.life.id;
+        let id = &entry.incarnation.id;
         let known = self.upstreams.get(id);
-        if let Some(known) = known.filter(|known| known.life.is_younger_than(&entry.life)) {
-            if entry.life.born.is_none() {
+        if let Some(known) =
+            known.filter(|known| known.incarnation.is_newer_than(&entry.incarnation))
+        {
+            if entry.incarnation.started_at.is_none() {
                 return self.apply_unreadable(&id.clone(), revision, "it says no birth any more");
             }
             log::info!(
                 "event=entry_outdated upstream={:?} known={:?}",
-                entry.life,
-                known.life
+                entry.incarnation,
+                known.incarnation
             );
             return;
         }
--- a/crates/gateway/src/sync/quarantine.rs
+++ b/crates/gateway/src/sync/quarantine.rs
@@ -168,10 +168,16 @@
             match action {
                 QuarantineAction::Keep(record) => {
                     // Other VMs only write such a record once more.
-                    if let QuarantineRecord::Quarantined { print, lives, .. } = &record
+                    if let QuarantineRecord::Quarantined {
+                        print,
+                        incarnations,
+                        ..
+                    } = &record
                         && coordinates_at.is_some()
                     {
-                        log::warn!("event=request_quarantined print={print} upstreams={lives:?}");
+                        log::warn!(
+                            "event=request_quarantined print={print} upstreams={incarnations:?}"
+                        );
                     }
                     txn.writes.extend(self.write(&record));
                 }
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -41,9 +41,9 @@
 
 impl ClusterView {
     /// Whether this run of an upstream is in the directory.
-    pub fn is_listed(&self, life: &UpstreamLife) -> bool {
-        let entry = self.upstreams.get(&life.id);
-        entry.is_some_and(|entry| entry.life == *life)
+    pub fn is_listed(&self, incarnation: &UpstreamIncarnation) -> bool {
+        let entry = self.upstreams.get(&incarnation.id);
+        entry.is_some_and(|entry| entry.incarnation == *incarnation)
     }
 }
 
@@ -94,7 +94,7 @@
 
 fn route_upstream(entry: &UpstreamEntry, slots: u32, speed: Option<EngineSpeed>) -> RouteUpstream {
     RouteUpstream {
-        life: entry.life.clone(),
+        incarnation: entry.incarnation.clone(),
         addr: entry.addr,
         failure_domain: entry.failure_domain.clone(),
         slots,
--- a/crates/gateway/tests/orders.rs
+++ b/crates/gateway/tests/orders.rs
@@ -81,10 +81,10 @@
 }
 
 fn leave() -> OrderRequest {
-    let life = UpstreamLife::new(UpstreamId::new("e1"), None);
+    let incarnation = UpstreamIncarnation::new(UpstreamId::new("e1"), None);
     OrderRequest {
         target: UpstreamTarget {
-            life,
+            incarnation,
             addr: SocketAddr::from(([127, 0, 0, 1], 1)),
         },
         order: GroupOrder::Leave {
--- a/crates/gateway/tests/standstill.rs
+++ b/crates/gateway/tests/standstill.rs
@@ -16,7 +16,7 @@
         millicores: 250,
     };
     let book = Rc::new(RefCell::new(UpstreamBook::new(place)));
-    let leader = UpstreamLife::new(UpstreamId::new("leader"), None);
+    let leader = UpstreamIncarnation::new(UpstreamId::new("leader"), None);
     let enter = |at| FlightGuard::enter(&book, &leader, None, 100, Millis(at));
     let has_begun = || book.borrow().load(&leader).has_begun();
 
--- a/crates/groups/src/allocate.rs
+++ b/crates/groups/src/allocate.rs
@@ -137,7 +137,7 @@
             .collect();
         ranked.sort_by(|a, b| {
             a.0.cmp(&b.0)
-                .then_with(|| a.1.entry.life.id.cmp(&b.1.entry.life.id))
+                .then_with(|| a.1.entry.incarnation.id.cmp(&b.1.entry.incarnation.id))
         });
         ranked.truncate(model.group_size);
         let slowest = ranked.last().map_or(Readiness::Warm, |(it, _)| *it);
@@ -159,7 +159,7 @@
             rank,
             members: ranked
                 .iter()
-                .map(|(_, it)| it.entry.life.id.clone())
+                .map(|(_, it)| it.entry.incarnation.id.clone())
                 .collect(),
         };
         if !candidate.is_ready() && pool.free.len() < model.group_size + spares {
@@ -264,7 +264,7 @@
 /// Warms what is staged and not about to join a group.
 fn warm_spares(free: &[&UpstreamTrack], allocation: &mut Allocation) {
     for track in free {
-        let id = &track.entry.life.id;
+        let id = &track.entry.incarnation.id;
         let is_formed = allocation
             .form
             .iter()
@@ -300,7 +300,7 @@
     *together.entry(place).or_default() += candidate.members.len();
     *pool.models.entry(model.name.clone()).or_default() += candidate.rank.loads;
     for track in &pool.free {
-        let id = &track.entry.life.id;
+        let id = &track.entry.incarnation.id;
         let lacks = readiness(track, &model.name) > Readiness::Staging;
         let can_stage = lacks && track.staging.is_none();
         if can_stage && candidate.members.contains(id) {
@@ -308,7 +308,7 @@
         }
     }
     pool.free
-        .retain(|track| !candidate.members.contains(&track.entry.life.id));
+        .retain(|track| !candidate.members.contains(&track.entry.incarnation.id));
     if candidate.is_ready() {
         let form = (model.name.clone(), candidate.members.clone());
         allocation.form.push(form);
@@ -332,7 +332,7 @@
             .iter()
             .filter(|track| track.staging.is_none() && track.entry.staged.is_empty());
         for track in cold {
-            let stage = (track.entry.life.id.clone(), model.clone());
+            let stage = (track.entry.incarnation.id.clone(), model.clone());
             allocation.stage.push(stage);
         }
     }
--- a/crates/groups/src/assign.rs
+++ b/crates/groups/src/assign.rs
@@ -36,7 +36,7 @@
             if let Some(model) = track.model() {
                 *pool.models.entry(model.clone()).or_default() += 1;
             }
-            if free.contains(&track.entry.life.id) && self.is_usable(track, now) {
+            if free.contains(&track.entry.incarnation.id) && self.is_usable(track, now) {
                 pool.free.push(track);
             }
         }
@@ -116,7 +116,7 @@
 
     /// Whether a free upstream may join a group now.
     pub(crate) fn is_usable(&self, track: &UpstreamTrack, now: Millis) -> bool {
-        let id = &track.entry.life.id;
+        let id = &track.entry.incarnation.id;
         let is_forming = self.forming.values().any(|it| it.members.contains(id));
         let is_inherited = now < self.inherited_until && self.is_inherited(id);
         track.entry.state == UpstreamState::Ready
@@ -133,7 +133,7 @@
     /// once: with a wait for them too the mean worth of days with trouble was 0.585 to 0.606, without it 0.620 to 0.647
     /// (8 VMs, 57 upstreams; five days, six plays with it and three without).
     pub(crate) fn may_have_restarted(&self, track: &UpstreamTrack) -> bool {
-        let can_restart = track.entry.life.born.is_some();
+        let can_restart = track.entry.incarnation.started_at.is_some();
         let is_fresh = track.came_free && track.orders_begun == Some(0);
         let fabric = track.entry.fabric.as_ref();
         can_restart && is_fresh && fabric.is_some_and(|fabric| self.standing.contains(fabric))
--- a/crates/groups/src/hear.rs
+++ b/crates/groups/src/hear.rs
@@ -13,10 +13,10 @@
 impl GroupPlanner {
     /// Hears what became of an order.
     pub fn note_order(&mut self, request: &OrderRequest, outcome: &OrderOutcome) {
-        let target = &request.target.life;
+        let target = &request.target.incarnation;
         let track = self.tracks.get_mut(&target.id);
         // What was meant for an earlier run says nothing of this one.
-        let Some(track) = track.filter(|track| track.entry.life == *target) else {
+        let Some(track) = track.filter(|track| track.entry.incarnation == *target) else {
             return;
         };
         if let Some(given) = &mut track.given {
@@ -62,12 +62,12 @@
     }
 
     /// Hears what became of a question.
-    pub fn note_report(&mut self, asked: &UpstreamLife, outcome: &AskOutcome, now: Millis) {
+    pub fn note_report(&mut self, asked: &UpstreamIncarnation, outcome: &AskOutcome, now: Millis) {
         let Some(track) = self.tracks.get_mut(&asked.id) else {
             return;
         };
-        let known = track.entry.life.born;
-        if asked.born == known {
+        let known = track.entry.incarnation.started_at;
+        if asked.started_at == known {
             track.is_asked = false;
         }
         match outcome {
@@ -80,7 +80,7 @@
                 _ => {}
             },
             // That an earlier run did not answer says nothing of this one.
-            _ if asked.born != known => return,
+            _ if asked.started_at != known => return,
             _ => {}
         }
         match outcome {
@@ -125,11 +125,11 @@
         };
         let before = track.entry.membership.clone();
         track.restart_by_report(report);
-        let life = track.entry.life.clone();
-        log::info!("event=upstream_restarted upstream={life:?}");
+        let incarnation = track.entry.incarnation.clone();
+        log::info!("event=upstream_restarted upstream={incarnation:?}");
         if let Some(before) = before {
             self.hold_if_standing(id, &(before.group, before.epoch), now);
         }
-        self.note_report(&life, &AskOutcome::Answered(report.clone()), now);
+        self.note_report(&incarnation, &AskOutcome::Answered(report.clone()), now);
     }
 }
--- a/crates/groups/src/planner.rs
+++ b/crates/groups/src/planner.rs
@@ -159,24 +159,24 @@
         let mut listed: IndexMap<SocketAddr, &UpstreamId> = IndexMap::new();
         let mut left: Vec<(UpstreamId, GroupKey)> = Vec::new();
         for entry in entries {
-            let id = &entry.life.id;
+            let id = &entry.incarnation.id;
             listed.insert(entry.addr, id);
             let track = self
                 .tracks
                 .entry(id.clone())
                 .or_insert_with(|| UpstreamTrack::new(entry.clone()));
             track.is_listed = true;
-            if track.entry.life.is_younger_than(&entry.life) {
+            if track.entry.incarnation.is_newer_than(&entry.incarnation) {
                 // It reported its restart before its entry shows it.
                 continue;
             }
             let before = track.entry.membership.as_ref();
-            let is_restarted = entry.life.is_younger_than(&track.entry.life);
+            let is_restarted = entry.incarnation.is_newer_than(&track.entry.incarnation);
             if let Some(before) = before.filter(|_| entry.membership.is_none()) {
                 left.push((id.clone(), (before.group.clone(), before.epoch)));
             }
             if is_restarted {
-                log::info!("event=upstream_restarted upstream={:?}", entry.life);
+                log::info!("event=upstream_restarted upstream={:?}", entry.incarnation);
                 track.restart(entry.clone());
             } else if track.entry != *entry {
                 track.silent = 0;
@@ -245,12 +245,12 @@
     /// Asks all members; only certainty makes one that does not answer a lost one.
     pub fn note_quiet(
         &mut self,
-        leader: &UpstreamLife,
+        leader: &UpstreamIncarnation,
         is_certain: bool,
         now: Millis,
     ) -> Vec<GroupAction> {
         let track = self.tracks.get_mut(&leader.id);
-        let Some(track) = track.filter(|track| track.entry.life == *leader) else {
+        let Some(track) = track.filter(|track| track.entry.incarnation == *leader) else {
             return Vec::new();
         };
         if is_certain {
--- a/crates/groups/src/step.rs
+++ b/crates/groups/src/step.rs
@@ -218,7 +218,7 @@
         // Those that fell out of the directory are members all the same, until they are lost.
         let unlisted = self.tracks.values();
         let unlisted = unlisted.filter(|it| !it.is_listed && it.is_in(&key.0, key.1));
-        let unlisted: Vec<&UpstreamId> = unlisted.map(|it| &it.entry.life.id).collect();
+        let unlisted: Vec<&UpstreamId> = unlisted.map(|it| &it.entry.incarnation.id).collect();
         let mut all = members.chain(unlisted.iter().copied());
         let leader = group.leader().map(|(leader, _)| leader);
         let is_lost = |id: &&UpstreamId| self.is_lost(now, id, leader.unwrap_or(id));
--- a/crates/groups/src/track.rs
+++ b/crates/groups/src/track.rs
@@ -76,7 +76,7 @@
 
     pub fn target(&self) -> UpstreamTarget {
         UpstreamTarget {
-            life: self.entry.life.clone(),
+            incarnation: self.entry.incarnation.clone(),
             addr: self.entry.addr,
         }
     }
@@ -95,7 +95,7 @@
     /// Takes over what a later run says of itself before its entry shows it.
     pub fn restart_by_report(&mut self, report: &UpstreamReport) {
         let mut entry = self.entry.clone();
-        entry.life.born = report.born;
+        entry.incarnation.started_at = report.born;
         entry.membership.clone_from(&report.membership);
         self.restart(entry);
     }
--- a/crates/groups/tests/decisions.rs
+++ b/crates/groups/tests/decisions.rs
@@ -254,7 +254,7 @@
             orders_begun: 5,
             ..report()
         };
-        planner.note_report(&life(id), &AskOutcome::Answered(report), NOW);
+        planner.note_report(&incarnation(id), &AskOutcome::Answered(report), NOW);
     }
     let actions = planner.step(NOW + Millis(100));
     let expected: Vec<Option<u64>> = actions
--- a/crates/groups/tests/lives.rs
+++ b/crates/groups/tests/lives.rs
@@ -12,8 +12,8 @@
 fn show_again(ups: &[Up], restarted: &[&str], planner: &mut GroupPlanner, now: Millis) {
     let mut entries: Vec<_> = ups.iter().enumerate().map(|(i, up)| entry(up, i)).collect();
     for entry in &mut entries {
-        if restarted.contains(&entry.life.as_str()) {
-            entry.life.born = Some(UnixMillis(2));
+        if restarted.contains(&entry.incarnation.as_str()) {
+            entry.incarnation.started_at = Some(UnixMillis(2));
         }
     }
     planner.set_directory(entries.iter(), 20, now);
@@ -58,8 +58,8 @@
     let joins = requests(&actions);
     let expected: Vec<_> = joins
         .iter()
-        .filter(|request| request.target.life.as_str() == "u1")
-        .map(|request| (request.target.life.born, request.expected))
+        .filter(|request| request.target.incarnation.as_str() == "u1")
+        .map(|request| (request.target.incarnation.started_at, request.expected))
         .collect();
     assert_eq!(expected, [(Some(UnixMillis(2)), Some(0))], "{actions:?}");
 }
@@ -92,17 +92,20 @@
     let mut planner = planner();
     show(&ups, &mut planner);
     for after in [1, 60] {
-        planner.note_report(&life("u3"), &AskOutcome::Silent, NOW + Millis(after));
+        planner.note_report(&incarnation("u3"), &AskOutcome::Silent, NOW + Millis(after));
     }
     show_again(&ups, &["u3"], &mut planner, NOW + Millis(100));
     // A question to the earlier run that runs out of time now.
-    planner.note_report(&life("u3"), &AskOutcome::Silent, NOW + Millis(110));
-    planner.note_report(&life("u3"), &AskOutcome::Gone, NOW + Millis(120));
+    planner.note_report(&incarnation("u3"), &AskOutcome::Silent, NOW + Millis(110));
+    planner.note_report(&incarnation("u3"), &AskOutcome::Gone, NOW + Millis(120));
     let actions = planner.step(NOW + Millis(130));
     assert_eq!(orders(&actions), ["u3: stage b", "u4: stage b"]);
     // Doubts about a leader's earlier run say nothing of the later one.
     show_again(&ups, &["u1", "u3"], &mut planner, NOW + Millis(200));
-    assert_eq!(planner.note_quiet(&life("u1"), true, NOW + Millis(210)), []);
+    assert_eq!(
+        planner.note_quiet(&incarnation("u1"), true, NOW + Millis(210)),
+        []
+    );
 }
 
 #[test]
@@ -158,7 +161,7 @@
         born: Some(UnixMillis(2)),
         ..report()
     };
-    planner.note_report(&life("u2"), &AskOutcome::Answered(restarted), NOW);
+    planner.note_report(&incarnation("u2"), &AskOutcome::Answered(restarted), NOW);
     let actions = planner.step(NOW);
     assert!(
         orders(&actions).contains(&"u1: leave".to_owned()),
@@ -167,10 +170,10 @@
     // The entry of the earlier run is read again, and so is an answer of it that was on its way.
     show(&ups, &mut planner);
     let old = AskOutcome::Answered(report());
-    planner.note_report(&life("u2"), &old, NOW + Millis(10));
+    planner.note_report(&incarnation("u2"), &old, NOW + Millis(10));
     let request = requests(&actions).remove(0);
     planner.note_order(&request, &OrderOutcome::Unknown("lost".to_owned()));
-    planner.note_report(&life("u1"), &old, NOW + Millis(20));
+    planner.note_report(&incarnation("u1"), &old, NOW + Millis(20));
     let actions = planner.step(NOW + Millis(600));
     assert!(
         orders(&actions).contains(&"u1: leave".to_owned()),
--- a/crates/groups/tests/silence.rs
+++ b/crates/groups/tests/silence.rs
@@ -19,9 +19,9 @@
     show(&ups, &mut planner);
     for round in 0..4 {
         let now = NOW + Millis(round * 1_000);
-        planner.note_quiet(&life("u1"), true, now);
+        planner.note_quiet(&incarnation("u1"), true, now);
         for id in ["u1", "u2"] {
-            planner.note_report(&life(id), &AskOutcome::Unheard, now);
+            planner.note_report(&incarnation(id), &AskOutcome::Unheard, now);
         }
         let actions = planner.step(now + Millis(60));
         let orders = actions
@@ -42,7 +42,7 @@
     show(&ups, &mut planner);
     quiet(&mut planner, "u1", NOW);
     let report = AskOutcome::Answered(report());
-    planner.note_report(&life("u2"), &report, NOW);
+    planner.note_report(&incarnation("u2"), &report, NOW);
     let now = NOW + Millis(200);
     let actions = planner.step(now);
     let hold = GroupAction::Hold {
@@ -66,7 +66,7 @@
         1
     );
     let request = actions.iter().find_map(|action| match action {
-        GroupAction::Order(request) if request.target.life.as_str() == "u2" => {
+        GroupAction::Order(request) if request.target.incarnation.as_str() == "u2" => {
             Some(request.clone())
         }
         _ => None,
@@ -74,7 +74,7 @@
     planner.note_order(&request.expect("it was ordered"), &OrderOutcome::Holds);
     let left = [ups[0], up("u2", Some("a")), ups[2]];
     show(&left, &mut planner);
-    planner.note_report(&life("u1"), &AskOutcome::Silent, now);
+    planner.note_report(&incarnation("u1"), &AskOutcome::Silent, now);
     let actions = planner.step(now + Millis(4_000));
     assert!(
         !orders(&actions).iter().any(|order| order.starts_with("u2")),
@@ -95,7 +95,7 @@
         member("u1", "a.7", 0, MemberState::Open),
         member("u2", "a.7", 1, MemberState::Ready),
     ];
-    let (leader, other) = (life("u1"), life("u2"));
+    let (leader, other) = (incarnation("u1"), incarnation("u2"));
     let report = AskOutcome::Answered(report());
     let mut planner = planner();
     show(&ups, &mut planner);
@@ -169,18 +169,18 @@
         let mut planner = planner();
         show(&ups, &mut planner);
         let report = AskOutcome::Answered(report());
-        planner.note_quiet(&life("u1"), true, NOW);
-        planner.note_report(&life("u1"), &report, NOW);
+        planner.note_quiet(&incarnation("u1"), true, NOW);
+        planner.note_report(&incarnation("u1"), &report, NOW);
         for after in [1, 60] {
             let at = NOW + Millis(after);
-            planner.note_report(&life("u2"), &AskOutcome::Silent, at);
+            planner.note_report(&incarnation("u2"), &AskOutcome::Silent, at);
         }
         if !case.is_listed {
             show(&ups[..1], &mut planner);
         }
         if let Some(is_certain) = case.quiet {
-            planner.note_quiet(&life("u1"), is_certain, NOW + Millis(200));
-            planner.note_report(&life("u1"), &report, NOW + Millis(201));
+            planner.note_quiet(&incarnation("u1"), is_certain, NOW + Millis(200));
+            planner.note_report(&incarnation("u1"), &report, NOW + Millis(201));
         }
         let actions = planner.step(NOW + Millis(1 + case.after));
         let ends = orders(&actions).contains(&"u1: leave".to_owned());
@@ -195,7 +195,7 @@
         member("u1", "a.7", 0, MemberState::Open),
         member("u2", "a.7", 1, MemberState::Ready),
     ];
-    let (leader, other) = (life("u1"), life("u2"));
+    let (leader, other) = (incarnation("u1"), incarnation("u2"));
     let mut planner = planner();
     show(&ups, &mut planner);
     for id in [&leader, &other] {
@@ -236,19 +236,19 @@
     let mut planner = planner();
     show(&ups, &mut planner);
     quiet(&mut planner, "u1", NOW);
-    planner.note_report(&life("u2"), &answer, NOW);
+    planner.note_report(&incarnation("u2"), &answer, NOW);
     let actions = planner.step(NOW + Millis(200));
     assert!(actions.contains(&hold), "{actions:?}");
     obey(&mut planner, &actions);
     planner.note_hold(&group, &held, true);
     // The leader is back before anybody was told to leave.
-    planner.note_report(&life("u1"), &answer, NOW + Millis(300));
+    planner.note_report(&incarnation("u1"), &answer, NOW + Millis(300));
     let actions = planner.step(NOW + Millis(400));
     assert_eq!(orders(&actions).iter().filter(|it| is_u2(it)).count(), 0);
     // A minute later no VM that took over would find what was kept.
     let later = NOW + Millis(60_000);
     quiet(&mut planner, "u1", later);
-    planner.note_report(&life("u2"), &answer, later);
+    planner.note_report(&incarnation("u2"), &answer, later);
     let actions = planner.step(later + Millis(200));
     assert!(actions.contains(&hold), "{actions:?}");
     assert_eq!(orders(&actions).iter().filter(|it| is_u2(it)).count(), 0);
--- a/crates/groups/tests/support/fleet.rs
+++ b/crates/groups/tests/support/fleet.rs
@@ -26,7 +26,7 @@
 pub fn entry(index: usize) -> UpstreamEntry {
     let fabric = index / FABRIC_SIZE;
     UpstreamEntry {
-        life: UpstreamLife::new(
+        incarnation: UpstreamIncarnation::new(
             UpstreamId::from(format!("i-{index:08x}")),
             Some(UnixMillis(1)),
         ),
--- a/crates/groups/tests/support/short.rs
+++ b/crates/groups/tests/support/short.rs
@@ -37,8 +37,8 @@
 }
 
 /// The first run of an upstream.
-pub fn life(id: &str) -> UpstreamLife {
-    UpstreamLife::new(UpstreamId::new(id), Some(UnixMillis(1)))
+pub fn incarnation(id: &str) -> UpstreamIncarnation {
+    UpstreamIncarnation::new(UpstreamId::new(id), Some(UnixMillis(1)))
 }
 
 /// What such a run reports that has begun no order.
@@ -78,7 +78,7 @@
 
 pub fn entry(up: &Up, index: usize) -> UpstreamEntry {
     UpstreamEntry {
-        life: life(up.id),
+        incarnation: incarnation(up.id),
         service: ServiceName::new("engines"),
         addr: ([10, 0, 0, 1], 9_000 + index as u16).into(),
         failure_domain: FailureDomain::new("east"),
@@ -134,7 +134,7 @@
                     GroupOrder::Stage { model } => format!("stage {model}"),
                     other => other.as_str().to_owned(),
                 };
-                Some(format!("{}: {what}", request.target.life))
+                Some(format!("{}: {what}", request.target.incarnation))
             }
             GroupAction::Ask(_) | GroupAction::Hold { .. } => None,
         })
@@ -153,7 +153,7 @@
 }
 
 pub fn quiet(planner: &mut GroupPlanner, id: &str, now: Millis) {
-    let id = life(id);
+    let id = incarnation(id);
     planner.note_quiet(&id, true, now);
     planner.note_report(&id, &AskOutcome::Silent, now);
     let actions = planner.step(now + Millis(60));
--- a/crates/groups/tests/support/world.rs
+++ b/crates/groups/tests/support/world.rs
@@ -85,13 +85,13 @@
 }
 
 impl ModelUpstream {
-    fn life(&self) -> UpstreamLife {
-        UpstreamLife::new(self.id.clone(), self.born)
+    fn incarnation(&self) -> UpstreamIncarnation {
+        UpstreamIncarnation::new(self.id.clone(), self.born)
     }
 
     fn entry(&self) -> UpstreamEntry {
         UpstreamEntry {
-            life: self.life(),
+            incarnation: self.incarnation(),
             service: ServiceName::new("engines"),
             addr: self.addr,
             failure_domain: FailureDomain::new("fd"),
@@ -305,12 +305,12 @@
                 self.holds.insert(group, (members, self.now + 12_000));
             }
             GroupAction::Ask(target) => {
-                let outcome = self.ask(&target.life.id, target.addr);
-                self.trace(|| format!("{index} asks {:?}: {outcome:?}", target.life));
+                let outcome = self.ask(&target.incarnation.id, target.addr);
+                self.trace(|| format!("{index} asks {:?}: {outcome:?}", target.incarnation));
                 let now = Millis(self.now);
                 self.planners[index]
                     .0
-                    .note_report(&target.life, &outcome, now);
+                    .note_report(&target.incarnation, &outcome, now);
             }
             GroupAction::Order(request) => {
                 let is_late = self.random.random_bool(self.options.late_chance);
@@ -368,7 +368,7 @@
             let outcome = self.apply(&order.request);
             self.trace(|| {
                 let request = &order.request;
-                let id = &request.target.life;
+                let id = &request.target.incarnation;
                 format!("{} to {id}: {:?} {outcome:?}", order.planner, request.order)
             });
             if order.is_answered {
--- a/crates/groups/tests/support/world/upstreams.rs
+++ b/crates/groups/tests/support/world/upstreams.rs
@@ -16,7 +16,7 @@
         if upstream.cut_from_coordinator || upstream.down_until > self.now {
             return OrderOutcome::Unknown("cut off".to_owned());
         }
-        if upstream.id != target.life.id {
+        if upstream.id != target.incarnation.id {
             return OrderOutcome::Gone;
         }
         if request.fence < upstream.fence {
--- a/crates/load/src/experiment/limits.rs
+++ b/crates/load/src/experiment/limits.rs
@@ -168,7 +168,7 @@
     count: u64,
     settled: BTreeSet<u64>,
     tally: FleetTally,
-    life: UpstreamLife,
+    incarnation: UpstreamIncarnation,
     domain: FailureDomain,
 }
 
@@ -197,7 +197,7 @@
             count: 0,
             settled: BTreeSet::new(),
             tally: FleetTally::default(),
-            life: UpstreamLife::new(UpstreamId::new("u"), Some(UnixMillis(1))),
+            incarnation: UpstreamIncarnation::new(UpstreamId::new("u"), Some(UnixMillis(1))),
             domain: FailureDomain::from("domain-0".to_owned()),
         }
     }
@@ -281,9 +281,9 @@
         if self.vms[vm].held_until > now {
             return;
         }
-        let (life, failure_domain) = (self.life.clone(), self.domain.clone());
+        let (incarnation, failure_domain) = (self.incarnation.clone(), self.domain.clone());
         let place = QuotaPlace {
-            life: &life,
+            incarnation: &incarnation,
             failure_domain: &failure_domain,
         };
         let claim = PermitClaim {
@@ -375,9 +375,9 @@
             sent_at: Millis(now),
             heard_at: Millis(now),
         };
-        let (life, failure_domain) = (self.life.clone(), self.domain.clone());
+        let (incarnation, failure_domain) = (self.incarnation.clone(), self.domain.clone());
         let place = QuotaPlace {
-            life: &life,
+            incarnation: &incarnation,
             failure_domain: &failure_domain,
         };
         let event = QuotaEvent::Answered(place, observation);
--- a/crates/load/src/experiment/serving/run.rs
+++ b/crates/load/src/experiment/serving/run.rs
@@ -91,7 +91,10 @@
             millicores: 250,
         };
         let pool = (0..case.leaders).map(|leader| RouteUpstream {
-            life: UpstreamLife::new(UpstreamId::from(format!("leader-{leader}")), None),
+            incarnation: UpstreamIncarnation::new(
+                UpstreamId::from(format!("leader-{leader}")),
+                None,
+            ),
             addr: ([127, 0, 0, 1], 1).into(),
             failure_domain: domain_of(leader),
             slots: case.slots,
@@ -220,10 +223,13 @@
         let UpstreamChoice::Chosen(chosen) = choice else {
             return self.refuse(number);
         };
-        let life = chosen.life.clone();
-        let leader = self.pool.iter().position(|it| it.life == life);
+        let incarnation = chosen.incarnation.clone();
+        let leader = self
+            .pool
+            .iter()
+            .position(|it| it.incarnation == incarnation);
         request.leader = leader.unwrap_or(0);
-        self.books[vm].note_sent(&life, None, request.prompt, Millis(self.now));
+        self.books[vm].note_sent(&incarnation, None, request.prompt, Millis(self.now));
         self.at(WAY, Event::Reach(number));
     }
 
@@ -268,7 +274,7 @@
         let kind = self.kind(number);
         let now = self.now;
         let request = &mut self.requests[number];
-        let life = &self.pool[request.leader].life;
+        let incarnation = &self.pool[request.leader].incarnation;
         let book = &mut self.books[request.vm];
         if request.has_begun {
             request.is_late |= now - request.last_at > kind.pause.0;
@@ -276,15 +282,21 @@
             request.has_begun = true;
             let took = Millis(now - request.tried_at);
             request.is_late |= took > kind.objective;
-            book.note_begun(life, request.prompt);
-            book.note_first(life, self.case.slots, took, kind.objective, Millis(now));
+            book.note_begun(incarnation, request.prompt);
+            book.note_first(
+                incarnation,
+                self.case.slots,
+                took,
+                kind.objective,
+                Millis(now),
+            );
         }
         request.last_at = now;
-        book.note_progress(life, Millis(now));
+        book.note_progress(incarnation, Millis(now));
         if !is_last {
             return;
         }
-        book.note_ended(life, true, request.prompt);
+        book.note_ended(incarnation, true, request.prompt);
         let took = Millis(now - request.tried_at);
         self.returns[request.vm].note_answer(&self.model, took);
         let result = &mut self.result.kinds[kind.name];
--- a/crates/occupancy/src/counts.rs
+++ b/crates/occupancy/src/counts.rs
@@ -5,9 +5,9 @@
 use indexmap::IndexMap;
 
 /// The short name of a leader's run in datagrams. Of 400 leaders two share one in 1 of 50,000 fleets.
-pub fn leader_key(leader: &UpstreamLife) -> u32 {
-    let born = leader.born.unwrap_or_default();
-    rendezvous_score(born.0, leader.as_str()) as u32
+pub fn leader_key(leader: &UpstreamIncarnation) -> u32 {
+    let started_at = leader.started_at.unwrap_or_default();
+    rendezvous_score(started_at.0, leader.as_str()) as u32
 }
 
 /// What is in flight at one leader.
--- a/crates/occupancy/tests/told.rs
+++ b/crates/occupancy/tests/told.rs
@@ -72,8 +72,8 @@
     }
 }
 
-fn leader() -> UpstreamLife {
-    UpstreamLife::new(UpstreamId::new("leader"), None)
+fn leader() -> UpstreamIncarnation {
+    UpstreamIncarnation::new(UpstreamId::new("leader"), None)
 }
 
 struct ToldCase {
--- a/crates/peer/src/notice.rs
+++ b/crates/peer/src/notice.rs
@@ -126,7 +126,7 @@
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct QuietNotice {
     /// The leader.
-    pub leader: UpstreamLife,
+    pub leader: UpstreamIncarnation,
     /// Whether its requests stand still. Before that there is only doubt: an overloaded group is silent
     /// for a while too.
     pub is_certain: bool,
--- a/crates/peer/tests/frame.rs
+++ b/crates/peer/tests/frame.rs
@@ -140,7 +140,7 @@
         vm: "front-hodmezo-ring-39".to_owned(),
         number: u64::MAX,
         report: LimitReport {
-            life: UpstreamLife::new(
+            incarnation: UpstreamIncarnation::new(
                 UpstreamId::new("i-0d194598d5"),
                 Some(UnixMillis(1_777_805_977_011)),
             ),
--- a/crates/ports/src/control.rs
+++ b/crates/ports/src/control.rs
@@ -12,7 +12,7 @@
 pub struct UpstreamTarget {
     /// Which run of it. Another upstream at its address refuses; a later run of its own may take what was meant
     /// for this one, and is told apart by the number of orders it has begun.
-    pub life: UpstreamLife,
+    pub incarnation: UpstreamIncarnation,
     /// Where it listens.
     pub addr: SocketAddr,
 }
--- a/crates/ports/src/directory.rs
+++ b/crates/ports/src/directory.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct UpstreamEntry {
     /// Which run of the upstream wrote it.
-    pub life: UpstreamLife,
+    pub incarnation: UpstreamIncarnation,
     /// The service it belongs to.
     pub service: ServiceName,
     /// Where it listens.
--- a/crates/quarantine/src/blame.rs
+++ b/crates/quarantine/src/blame.rs
@@ -17,7 +17,7 @@
 use crate::fingerprint::RequestPrint;
 
 /// Upstreams that ended under a request, and how many events had come from its run there.
-pub(crate) type EndedRuns = IndexMap<UpstreamLife, u32>;
+pub(crate) type EndedRuns = IndexMap<UpstreamIncarnation, u32>;
 
 /// Upstreams for whose ends a request is to blame before it is refused. One end has other causes as a rule, and a
 /// request has two by chance where few leaders are left.
@@ -109,24 +109,28 @@
 
 /// Candidates in their order, and what has become clear so far.
 struct Trial<'a> {
-    by_life: IndexMap<&'a UpstreamLife, Vec<Candidate<'a>>>,
+    by_incarnation: IndexMap<&'a UpstreamIncarnation, Vec<Candidate<'a>>>,
     /// Ends that a request is blamed for.
-    blamed: IndexSet<&'a UpstreamLife>,
+    blamed: IndexSet<&'a UpstreamIncarnation>,
     /// Of these, the ones whose request is in quarantine.
-    convicted: IndexSet<&'a UpstreamLife>,
+    convicted: IndexSet<&'a UpstreamIncarnation>,
     verdicts: Verdicts,
 }
 
 impl<'a> Trial<'a> {
     fn new(candidates: &[Candidate<'a>]) -> Self {
-        let mut by_life: IndexMap<&UpstreamLife, Vec<Candidate<'_>>> = IndexMap::new();
+        let mut by_incarnation: IndexMap<&UpstreamIncarnation, Vec<Candidate<'_>>> =
+            IndexMap::new();
         for candidate in candidates {
-            for life in candidate.ends.keys() {
-                by_life.entry(life).or_default().push(*candidate);
+            for incarnation in candidate.ends.keys() {
+                by_incarnation
+                    .entry(incarnation)
+                    .or_default()
+                    .push(*candidate);
             }
         }
         Self {
-            by_life,
+            by_incarnation,
             blamed: IndexSet::new(),
             convicted: IndexSet::new(),
             verdicts: Verdicts::new(),
@@ -135,8 +139,10 @@
 
     /// Blames a request for its ends that none before it is blamed for.
     fn blame(&mut self, candidate: &Candidate<'a>) {
-        let lives = candidate.ends.keys();
-        let own: Vec<_> = lives.filter(|life| !self.blamed.contains(life)).collect();
+        let incarnations = candidate.ends.keys();
+        let own: Vec<_> = incarnations
+            .filter(|incarnation| !self.blamed.contains(incarnation))
+            .collect();
         if own.len() < SUSPECT_ENDS {
             return;
         }
@@ -159,11 +165,11 @@
     fn like_beside(
         &self,
         candidate: &Candidate<'_>,
-        own: &[&UpstreamLife],
+        own: &[&UpstreamIncarnation],
     ) -> IndexMap<RequestPrint, usize> {
         let mut shared: IndexMap<RequestPrint, usize> = IndexMap::new();
-        for life in own {
-            let beside = self.by_life.get(life).into_iter().flatten();
+        for incarnation in own {
+            let beside = self.by_incarnation.get(incarnation).into_iter().flatten();
             let beside = beside.filter(|it| it.print != candidate.print);
             for equal in beside.filter(|it| it.is_like(candidate)) {
                 *shared.entry(equal.print).or_default() += 1;
@@ -189,8 +195,8 @@
     /// Refuses requests under which most upstreams ended that none in quarantine is to blame for.
     fn refuse_most(&mut self, candidates: &[Candidate<'a>]) {
         for candidate in candidates {
-            let lives = candidate.ends.keys();
-            let open = lives.filter(|life| !self.convicted.contains(life));
+            let incarnations = candidate.ends.keys();
+            let open = incarnations.filter(|incarnation| !self.convicted.contains(incarnation));
             if open.count() >= MOST_ENDS {
                 self.verdicts.insert(candidate.print, Verdict::Quarantined);
             }
--- a/crates/quarantine/src/ends.rs
+++ b/crates/quarantine/src/ends.rs
@@ -111,8 +111,8 @@
 /// A connection that breaks is no end: cuts, resets, drains and pauses break connections too.
 #[derive(Clone, Debug, Default)]
 pub struct EndWatch {
-    awaited: IndexMap<UpstreamLife, RunBreaks>,
-    ended: IndexMap<UpstreamLife, RunEnd>,
+    awaited: IndexMap<UpstreamIncarnation, RunBreaks>,
+    ended: IndexMap<UpstreamIncarnation, RunEnd>,
 }
 
 /// An end, and the requests under which it was.
@@ -127,20 +127,23 @@
     pub fn note_break(
         &mut self,
         now: Millis,
-        life: &UpstreamLife,
+        incarnation: &UpstreamIncarnation,
         run: BrokenRun,
         cause: BreakCause,
     ) -> BreakOutcome {
         self.expire(now);
         let BrokenRun { print, events } = run;
-        if let Some(end) = self.ended.get_mut(life) {
+        if let Some(end) = self.ended.get_mut(incarnation) {
             end.prints.insert(print);
             return BreakOutcome::Ended;
         }
-        let breaks = self.awaited.entry(life.clone()).or_insert(RunBreaks {
-            prints: IndexMap::new(),
-            is_probed: false,
-        });
+        let breaks = self
+            .awaited
+            .entry(incarnation.clone())
+            .or_insert(RunBreaks {
+                prints: IndexMap::new(),
+                is_probed: false,
+            });
         if breaks.prints.len() >= MAX_BREAKS {
             // The one that is least likely to have to do with an end that is yet to come.
             breaks.prints.shift_remove_index(0);
@@ -157,8 +160,8 @@
     }
 
     /// Forgets what was broken off at an upstream that says that it leaves: its end is planned.
-    pub fn forget(&mut self, life: &UpstreamLife) {
-        self.awaited.shift_remove(life);
+    pub fn forget(&mut self, incarnation: &UpstreamIncarnation) {
+        self.awaited.shift_remove(incarnation);
     }
 
     /// Notes evidence that an upstream ended, and gives the runs of requests under which it did. None where no request
@@ -166,11 +169,11 @@
     pub fn note_end(
         &mut self,
         now: Millis,
-        life: &UpstreamLife,
+        incarnation: &UpstreamIncarnation,
         evidence: EndEvidence,
     ) -> Option<Vec<BrokenRun>> {
         self.expire(now);
-        let breaks = self.awaited.shift_remove(life)?;
+        let breaks = self.awaited.shift_remove(incarnation)?;
         let prints = breaks.prints.into_iter();
         let counted = prints.filter(|(_, broken)| evidence.counts_for(broken.cause));
         let runs = counted.map(|(print, broken)| BrokenRun {
@@ -185,35 +188,35 @@
             at: now,
             prints: runs.iter().map(|run| run.print).collect(),
         };
-        self.ended.insert(life.clone(), end);
+        self.ended.insert(incarnation.clone(), end);
         Some(runs)
     }
 
     /// Whether requests were broken off at an upstream of which it is not known whether it ended.
-    pub fn is_awaited(&self, life: &UpstreamLife) -> bool {
-        self.awaited.contains_key(life)
+    pub fn is_awaited(&self, incarnation: &UpstreamIncarnation) -> bool {
+        self.awaited.contains_key(incarnation)
     }
 
     /// Whether it is known here that an upstream has ended.
-    pub fn has_ended(&self, life: &UpstreamLife) -> bool {
-        self.ended.contains_key(life)
+    pub fn has_ended(&self, incarnation: &UpstreamIncarnation) -> bool {
+        self.ended.contains_key(incarnation)
     }
 
     /// Ends that are to be looked at once more, where the directory has been up to date since `fresh_since`.
-    pub fn to_review(&self, now: Millis, fresh_since: Millis) -> Vec<UpstreamLife> {
+    pub fn to_review(&self, now: Millis, fresh_since: Millis) -> Vec<UpstreamIncarnation> {
         let ends = self.ended.iter();
         let due = ends.filter(|(_, end)| now.since(end.at.max(fresh_since)) >= REVIEW_TIME);
-        due.map(|(life, _)| life.clone()).collect()
+        due.map(|(incarnation, _)| incarnation.clone()).collect()
     }
 
     /// Forgets an end that was looked at once more, and gives the requests under which it was.
-    pub fn take_reviewed(&mut self, life: &UpstreamLife) -> Vec<RequestPrint> {
-        let end = self.ended.shift_remove(life);
+    pub fn take_reviewed(&mut self, incarnation: &UpstreamIncarnation) -> Vec<RequestPrint> {
+        let end = self.ended.shift_remove(incarnation);
         end.map_or_else(Vec::new, |end| end.prints.into_iter().collect())
     }
 
     /// Upstreams at which requests were broken off, and of which it is not known whether they ended.
-    pub fn awaited(&self) -> IndexSet<UpstreamLife> {
+    pub fn awaited(&self) -> IndexSet<UpstreamIncarnation> {
         self.awaited.keys().cloned().collect()
     }
 
--- a/crates/quarantine/src/kept.rs
+++ b/crates/quarantine/src/kept.rs
@@ -88,7 +88,7 @@
         kept.renewed_at = Some(now);
         Some(QuarantineRecord::Quarantined {
             print: request.print,
-            lives: request.ends.clone(),
+            incarnations: request.ends.clone(),
             since: kept.since,
         })
     }
--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -39,7 +39,7 @@
     /// Upstreams that ended under it and that it is not cleared of.
     ends: EndedRuns,
     /// Those that a whole answer, or an operator, has cleared it of.
-    cleared: IndexSet<UpstreamLife>,
+    cleared: IndexSet<UpstreamIncarnation>,
     /// Whether one of them was seen from this VM.
     is_own: bool,
     /// Since when it has been known.
@@ -56,7 +56,7 @@
     /// Which.
     pub print: RequestPrint,
     /// The upstreams that ended under it.
-    pub ends: Vec<UpstreamLife>,
+    pub ends: Vec<UpstreamIncarnation>,
     /// Since when this VM has known of it.
     pub since: Millis,
     /// When an upstream last ended under it, as far as this VM knows.
@@ -128,12 +128,12 @@
 
     /// Notes that an upstream ended under a run of a request. Of several runs there the one counts that had come least
     /// far.
-    pub fn note_end(&mut self, now: Millis, life: &UpstreamLife, run: BrokenRun) {
+    pub fn note_end(&mut self, now: Millis, incarnation: &UpstreamIncarnation, run: BrokenRun) {
         let entry = self.entry(now, run.print);
-        if entry.cleared.contains(life) {
+        if entry.cleared.contains(incarnation) {
             return;
         }
-        if let Some(events) = entry.ends.get_mut(life) {
+        if let Some(events) = entry.ends.get_mut(incarnation) {
             let is_less = run.events < *events;
             *events = run.events.min(*events);
             self.is_changed |= is_less;
@@ -142,15 +142,15 @@
         if entry.ends.len() >= MAX_ENDS {
             return;
         }
-        entry.ends.insert(life.clone(), run.events);
+        entry.ends.insert(incarnation.clone(), run.events);
         entry.struck_at = now;
         entry.used_at = now;
         self.is_changed = true;
     }
 
     /// Notes that it was seen from this VM that an upstream ended under a run of a request.
-    pub fn note_own(&mut self, now: Millis, life: &UpstreamLife, run: BrokenRun) {
-        self.note_end(now, life, run);
+    pub fn note_own(&mut self, now: Millis, incarnation: &UpstreamIncarnation, run: BrokenRun) {
+        self.note_end(now, incarnation, run);
         self.entry(now, run.print).is_own = true;
     }
 
@@ -160,14 +160,18 @@
     }
 
     /// Clears a request of the ends of these upstreams, also of those that are heard of later.
-    pub fn clear<Lives>(&mut self, now: Millis, print: RequestPrint, lives: Lives)
-    where
-        Lives: IntoIterator<Item = UpstreamLife>,
+    pub fn clear<Incarnations>(
+        &mut self,
+        now: Millis,
+        print: RequestPrint,
+        incarnations: Incarnations,
+    ) where
+        Incarnations: IntoIterator<Item = UpstreamIncarnation>,
     {
         let entry = self.entry(now, print);
-        for life in lives {
-            entry.ends.shift_remove(&life);
-            entry.cleared.insert(life);
+        for incarnation in incarnations {
+            entry.ends.shift_remove(&incarnation);
+            entry.cleared.insert(incarnation);
         }
         while entry.cleared.len() > MAX_CLEARED {
             entry.cleared.shift_remove_index(0);
@@ -176,7 +180,7 @@
     }
 
     /// The upstreams that ended under a request and that it is not cleared of.
-    pub fn ends(&self, print: RequestPrint) -> Vec<UpstreamLife> {
+    pub fn ends(&self, print: RequestPrint) -> Vec<UpstreamIncarnation> {
         let entry = self.entries.get(&print);
         let ends = entry.into_iter().flat_map(|entry| entry.ends.keys());
         ends.cloned().collect()
--- a/crates/quarantine/src/record.rs
+++ b/crates/quarantine/src/record.rs
@@ -14,7 +14,7 @@
     /// An upstream ended under these requests. Not written any more: it does not say how far their runs had come.
     End {
         /// The upstream.
-        life: UpstreamLife,
+        incarnation: UpstreamIncarnation,
         /// What one VM had in flight there.
         prints: Vec<RequestPrint>,
     },
@@ -23,21 +23,21 @@
         /// The request.
         print: RequestPrint,
         /// The upstreams.
-        lives: Vec<UpstreamLife>,
+        incarnations: Vec<UpstreamIncarnation>,
     },
     /// A request is in quarantine. Kept longer than the ends that led to it.
     Quarantined {
         /// The request.
         print: RequestPrint,
         /// The upstreams that ended under it.
-        lives: Vec<UpstreamLife>,
+        incarnations: Vec<UpstreamIncarnation>,
         /// When it began by the writer's time of day. For people: nothing goes by it.
         since: UnixMillis,
     },
     /// An upstream ended under these runs of requests.
     Ended {
         /// The upstream.
-        life: UpstreamLife,
+        incarnation: UpstreamIncarnation,
         /// What one VM had in flight there.
         runs: Vec<BrokenRun>,
     },
--- a/crates/quarantine/src/state.rs
+++ b/crates/quarantine/src/state.rs
@@ -21,25 +21,25 @@
     /// A request was broken off at an upstream that had not said that it was leaving.
     Broken {
         /// The upstream.
-        life: &'a UpstreamLife,
+        incarnation: &'a UpstreamIncarnation,
         /// The request, and how far it had come there.
         run: BrokenRun,
         /// How.
         cause: BreakCause,
     },
     /// An upstream says that it leaves.
-    Leaving(&'a UpstreamLife),
+    Leaving(&'a UpstreamIncarnation),
     /// Something shows that an upstream has ended.
     Ended {
         /// The upstream.
-        life: &'a UpstreamLife,
+        incarnation: &'a UpstreamIncarnation,
         /// What shows it.
         evidence: EndEvidence,
     },
     /// An end was looked at once more, long after it.
     Reviewed {
         /// The upstream.
-        life: &'a UpstreamLife,
+        incarnation: &'a UpstreamIncarnation,
         /// Whether the directory still names this run of it, so that it has not ended.
         is_named: bool,
     },
@@ -68,11 +68,11 @@
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum QuarantineAction {
     /// Find out whether anything listens at this upstream.
-    Probe(UpstreamLife),
+    Probe(UpstreamIncarnation),
     /// Log and count that this upstream ended.
     NoteEnd {
         /// The upstream.
-        life: UpstreamLife,
+        incarnation: UpstreamIncarnation,
         /// What shows it.
         evidence: EndEvidence,
     },
@@ -81,7 +81,7 @@
         /// The request, and how far it had come there.
         run: BrokenRun,
         /// The upstream that ended.
-        life: UpstreamLife,
+        incarnation: UpstreamIncarnation,
         /// The ends under it, whoever is to blame for them.
         ends: usize,
     },
@@ -103,13 +103,23 @@
     /// Takes in what happened and says what to do.
     pub fn handle(&mut self, now: Millis, event: QuarantineEvent<'_>) -> Vec<QuarantineAction> {
         match event {
-            QuarantineEvent::Broken { life, run, cause } => self.note_break(now, life, run, cause),
-            QuarantineEvent::Leaving(life) => {
-                self.ends.forget(life);
+            QuarantineEvent::Broken {
+                incarnation,
+                run,
+                cause,
+            } => self.note_break(now, incarnation, run, cause),
+            QuarantineEvent::Leaving(incarnation) => {
+                self.ends.forget(incarnation);
                 Vec::new()
             }
-            QuarantineEvent::Ended { life, evidence } => self.note_end(now, life, evidence),
-            QuarantineEvent::Reviewed { life, is_named } => self.review(now, life, is_named),
+            QuarantineEvent::Ended {
+                incarnation,
+                evidence,
+            } => self.note_end(now, incarnation, evidence),
+            QuarantineEvent::Reviewed {
+                incarnation,
+                is_named,
+            } => self.review(now, incarnation, is_named),
             QuarantineEvent::Answered(print) => self.clear(now, print),
             QuarantineEvent::Told { key, record } => {
                 self.kept.note(now, key, record);
@@ -158,22 +168,22 @@
     }
 
     /// Whether it is to be found out of an upstream whether it ended.
-    pub fn is_awaited(&self, life: &UpstreamLife) -> bool {
-        self.ends.is_awaited(life)
+    pub fn is_awaited(&self, incarnation: &UpstreamIncarnation) -> bool {
+        self.ends.is_awaited(incarnation)
     }
 
     /// Upstreams of which it is to be found out whether they ended.
-    pub fn awaited(&self) -> IndexSet<UpstreamLife> {
+    pub fn awaited(&self) -> IndexSet<UpstreamIncarnation> {
         self.ends.awaited()
     }
 
     /// Whether it was seen from this VM that an upstream has ended under a request.
-    pub fn has_ended(&self, life: &UpstreamLife) -> bool {
-        self.ends.has_ended(life)
+    pub fn has_ended(&self, incarnation: &UpstreamIncarnation) -> bool {
+        self.ends.has_ended(incarnation)
     }
 
     /// Ends that are to be looked at once more, where the directory has been up to date since `fresh_since`.
-    pub fn to_review(&self, now: Millis, fresh_since: Millis) -> Vec<UpstreamLife> {
+    pub fn to_review(&self, now: Millis, fresh_since: Millis) -> Vec<UpstreamIncarnation> {
         self.ends.to_review(now, fresh_since)
     }
 
@@ -190,13 +200,13 @@
     fn note_break(
         &mut self,
         now: Millis,
-        life: &UpstreamLife,
+        incarnation: &UpstreamIncarnation,
         run: BrokenRun,
         cause: BreakCause,
     ) -> Vec<QuarantineAction> {
-        match self.ends.note_break(now, life, run, cause) {
-            BreakOutcome::Ended => self.strike(now, life, &[run]),
-            BreakOutcome::Probe => vec![QuarantineAction::Probe(life.clone())],
+        match self.ends.note_break(now, incarnation, run, cause) {
+            BreakOutcome::Ended => self.strike(now, incarnation, &[run]),
+            BreakOutcome::Probe => vec![QuarantineAction::Probe(incarnation.clone())],
             BreakOutcome::Awaited => Vec::new(),
         }
     }
@@ -204,36 +214,36 @@
     fn note_end(
         &mut self,
         now: Millis,
-        life: &UpstreamLife,
+        incarnation: &UpstreamIncarnation,
         evidence: EndEvidence,
     ) -> Vec<QuarantineAction> {
-        let Some(runs) = self.ends.note_end(now, life, evidence) else {
+        let Some(runs) = self.ends.note_end(now, incarnation, evidence) else {
             return Vec::new();
         };
-        let life = life.clone();
+        let incarnation = incarnation.clone();
         let mut actions = vec![QuarantineAction::NoteEnd {
-            life: life.clone(),
+            incarnation: incarnation.clone(),
             evidence,
         }];
-        actions.extend(self.strike(now, &life, &runs));
+        actions.extend(self.strike(now, &incarnation, &runs));
         actions
     }
 
     fn strike(
         &mut self,
         now: Millis,
-        life: &UpstreamLife,
+        incarnation: &UpstreamIncarnation,
         runs: &[BrokenRun],
     ) -> Vec<QuarantineAction> {
         let mut actions = vec![QuarantineAction::Keep(QuarantineRecord::Ended {
-            life: life.clone(),
+            incarnation: incarnation.clone(),
             runs: runs.to_vec(),
         })];
         for run in runs {
-            self.ledger.note_own(now, life, *run);
+            self.ledger.note_own(now, incarnation, *run);
             actions.push(QuarantineAction::NoteStrike {
                 run: *run,
-                life: life.clone(),
+                incarnation: incarnation.clone(),
                 ends: self.ledger.open_ends(run.print),
             });
         }
@@ -244,17 +254,20 @@
     fn review(
         &mut self,
         now: Millis,
-        life: &UpstreamLife,
+        incarnation: &UpstreamIncarnation,
         is_named: bool,
     ) -> Vec<QuarantineAction> {
-        let prints = self.ends.take_reviewed(life);
+        let prints = self.ends.take_reviewed(incarnation);
         if !is_named {
             return Vec::new();
         }
         let records = prints.into_iter().map(|print| {
-            let lives = vec![life.clone()];
-            self.ledger.clear(now, print, lives.iter().cloned());
-            QuarantineAction::Keep(QuarantineRecord::Cleared { print, lives })
+            let incarnations = vec![incarnation.clone()];
+            self.ledger.clear(now, print, incarnations.iter().cloned());
+            QuarantineAction::Keep(QuarantineRecord::Cleared {
+                print,
+                incarnations,
+            })
         });
         records.collect()
     }
@@ -262,17 +275,17 @@
     /// Clears a request of all ends that are known. Of one end only the VM tells the others that has told them of the
     /// end: a request that every VM answers many times a second would be told of by each.
     fn clear(&mut self, now: Millis, print: RequestPrint) -> Vec<QuarantineAction> {
-        let lives = self.ledger.ends(print);
-        if lives.is_empty() {
+        let incarnations = self.ledger.ends(print);
+        if incarnations.is_empty() {
             return Vec::new();
         }
         let is_told =
             self.ledger.is_own(print) || self.ledger.standing(print) != RequestStanding::Good;
-        self.ledger.clear(now, print, lives.iter().cloned());
+        self.ledger.clear(now, print, incarnations.iter().cloned());
         match is_told {
             true => vec![QuarantineAction::Keep(QuarantineRecord::Cleared {
                 print,
-                lives,
+                incarnations,
             })],
             false => Vec::new(),
         }
@@ -280,22 +293,32 @@
 
     fn join(&mut self, now: Millis, record: &QuarantineRecord) {
         match record {
-            QuarantineRecord::End { life, prints } => {
+            QuarantineRecord::End {
+                incarnation,
+                prints,
+            } => {
                 for print in prints {
-                    self.ledger.note_end(now, life, whole_blame(*print));
+                    self.ledger.note_end(now, incarnation, whole_blame(*print));
                 }
             }
-            QuarantineRecord::Ended { life, runs } => {
+            QuarantineRecord::Ended { incarnation, runs } => {
                 for run in runs {
-                    self.ledger.note_end(now, life, *run);
+                    self.ledger.note_end(now, incarnation, *run);
                 }
             }
-            QuarantineRecord::Cleared { print, lives } => {
-                self.ledger.clear(now, *print, lives.iter().cloned());
+            QuarantineRecord::Cleared {
+                print,
+                incarnations,
+            } => {
+                self.ledger.clear(now, *print, incarnations.iter().cloned());
             }
-            QuarantineRecord::Quarantined { print, lives, .. } => {
-                for life in lives {
-                    self.ledger.note_end(now, life, whole_blame(*print));
+            QuarantineRecord::Quarantined {
+                print,
+                incarnations,
+                ..
+            } => {
+                for incarnation in incarnations {
+                    self.ledger.note_end(now, incarnation, whole_blame(*print));
                 }
                 // Written once more, it says that the request has come to the VM that writes it.
                 self.ledger.note_refused(now, *print);
@@ -330,7 +353,7 @@
             .map(|request| {
                 QuarantineAction::Keep(QuarantineRecord::Quarantined {
                     print: request.print,
-                    lives: request.ends,
+                    incarnations: request.ends,
                     since: today,
                 })
             })
--- a/crates/quarantine/tests/ends.rs
+++ b/crates/quarantine/tests/ends.rs
@@ -17,8 +17,8 @@
     }
 }
 
-fn life(id: &str) -> UpstreamLife {
-    UpstreamLife::new(UpstreamId::new(id), Some(UnixMillis(7)))
+fn incarnation(id: &str) -> UpstreamIncarnation {
+    UpstreamIncarnation::new(UpstreamId::new(id), Some(UnixMillis(7)))
 }
 
 struct EvidenceCase {
@@ -99,14 +99,14 @@
     for case in cases {
         let mut ends = EndWatch::default();
         let began = Millis(1_000);
-        let outcome = ends.note_break(began, &life("a"), run(1), case.cause);
+        let outcome = ends.note_break(began, &incarnation("a"), run(1), case.cause);
         // Callers leave all the time: only a break is looked into.
         let expected = match case.cause {
             BreakCause::Left => BreakOutcome::Awaited,
             BreakCause::Closed | BreakCause::Silent => BreakOutcome::Probe,
         };
         assert_eq!(outcome, expected, "{}", case.name);
-        let struck = ends.note_end(began + case.after, &life("a"), case.evidence);
+        let struck = ends.note_end(began + case.after, &incarnation("a"), case.evidence);
         let expected = case.is_struck.then(|| vec![run(1)]);
         assert_eq!(struck, expected, "{}", case.name);
     }
@@ -117,9 +117,9 @@
     let mut ends = EndWatch::default();
     let now = Millis(1_000);
     let closed = BreakCause::Closed;
-    let first = ends.note_break(now, &life("a"), run(1), closed);
-    let second = ends.note_break(now, &life("a"), run(2), closed);
-    let other = ends.note_break(now, &life("b"), run(3), closed);
+    let first = ends.note_break(now, &incarnation("a"), run(1), closed);
+    let second = ends.note_break(now, &incarnation("a"), run(2), closed);
+    let other = ends.note_break(now, &incarnation("b"), run(3), closed);
     assert_eq!(
         [first, second, other],
         [
@@ -128,17 +128,17 @@
             BreakOutcome::Probe
         ]
     );
-    let struck = ends.note_end(now, &life("a"), EndEvidence::NoListener);
+    let struck = ends.note_end(now, &incarnation("a"), EndEvidence::NoListener);
     assert_eq!(struck, Some(vec![run(1), run(2)]));
     // A break that is noticed after the end counts at once, and the same evidence again does not.
-    let late = ends.note_break(now + Millis(3), &life("a"), run(4), closed);
+    let late = ends.note_break(now + Millis(3), &incarnation("a"), run(4), closed);
     assert_eq!(late, BreakOutcome::Ended);
     assert_eq!(
-        ends.note_end(now, &life("a"), EndEvidence::NoListener),
+        ends.note_end(now, &incarnation("a"), EndEvidence::NoListener),
         None
     );
     // Another run under the same id has not ended.
-    let reborn = UpstreamLife::new(UpstreamId::new("a"), Some(UnixMillis(8)));
+    let reborn = UpstreamIncarnation::new(UpstreamId::new("a"), Some(UnixMillis(8)));
     let next = ends.note_break(now, &reborn, run(5), closed);
     assert_eq!(next, BreakOutcome::Probe);
 }
@@ -177,12 +177,12 @@
     for case in cases {
         let mut ends = EndWatch::default();
         let at = now - case.ended;
-        ends.note_break(at, &life("a"), run(1), BreakCause::Closed);
-        ends.note_end(at, &life("a"), EndEvidence::NoListener);
-        ends.note_break(at, &life("a"), run(2), BreakCause::Closed);
+        ends.note_break(at, &incarnation("a"), run(1), BreakCause::Closed);
+        ends.note_end(at, &incarnation("a"), EndEvidence::NoListener);
+        ends.note_break(at, &incarnation("a"), run(2), BreakCause::Closed);
         let due = ends.to_review(now, now - case.fresh);
         assert_eq!(due.len(), usize::from(case.is_due), "{}", case.name);
-        let prints = ends.take_reviewed(&life("a"));
+        let prints = ends.take_reviewed(&incarnation("a"));
         assert_eq!(prints, [print(1), print(2)], "{}", case.name);
         assert_eq!(ends.to_review(now, Millis::ZERO), []);
     }
@@ -194,23 +194,26 @@
     let (now, left) = (Millis(1_000), BreakCause::Left);
     for number in 0..200 {
         let at = now + Millis(u64::from(number) * 50);
-        let outcome = ends.note_break(at, &life("a"), run(number), left);
+        let outcome = ends.note_break(at, &incarnation("a"), run(number), left);
         assert_eq!(outcome, BreakOutcome::Awaited);
     }
     let end = now + Millis(10_000);
-    let outcome = ends.note_break(end, &life("a"), run(201), BreakCause::Closed);
+    let outcome = ends.note_break(end, &incarnation("a"), run(201), BreakCause::Closed);
     assert_eq!(
         outcome,
         BreakOutcome::Probe,
         "the first break is looked into"
     );
-    let struck = ends.note_end(end, &life("a"), EndEvidence::NoListener);
+    let struck = ends.note_end(end, &incarnation("a"), EndEvidence::NoListener);
     let struck = struck.expect("there were some");
     assert!(struck.contains(&run(199)) && struck.contains(&run(201)));
     assert!(!struck.contains(&run(0)), "that was long before");
     assert!(struck.len() <= 64, "{}", struck.len());
     // One that leaves as it said has not ended under anything.
-    ends.note_break(end, &life("b"), run(1), BreakCause::Closed);
-    ends.forget(&life("b"));
-    assert_eq!(ends.note_end(end, &life("b"), EndEvidence::Unlisted), None);
+    ends.note_break(end, &incarnation("b"), run(1), BreakCause::Closed);
+    ends.forget(&incarnation("b"));
+    assert_eq!(
+        ends.note_end(end, &incarnation("b"), EndEvidence::Unlisted),
+        None
+    );
 }
--- a/crates/quarantine/tests/kept.rs
+++ b/crates/quarantine/tests/kept.rs
@@ -8,7 +8,7 @@
 
 use bergamot_quarantine::{QuarantineAction, QuarantineEvent, QuarantineRecord, QuarantineState};
 use bergamot_types::prelude::*;
-use records::{kept, life, print};
+use records::{incarnation, kept, print};
 
 const NOW: Millis = Millis(10_000);
 const HOUR: Millis = Millis::from_secs(3_600);
@@ -44,7 +44,7 @@
         let key = "held";
         let record = &QuarantineRecord::Quarantined {
             print: print(7),
-            lives: (1..=3).map(life).collect(),
+            incarnations: (1..=3).map(incarnation).collect(),
             since: TODAY,
         };
         let mut coordinator = QuarantineState::default();
--- a/crates/quarantine/tests/state.rs
+++ b/crates/quarantine/tests/state.rs
@@ -8,7 +8,7 @@
     QuarantineState, RequestStanding,
 };
 use bergamot_types::prelude::*;
-use records::{kept, life, print};
+use records::{incarnation, kept, print};
 
 const NOW: Millis = Millis(10_000);
 const HOUR: Millis = Millis::from_secs(3_600);
@@ -20,9 +20,9 @@
 
 /// An upstream ends under a request: what this VM keeps for the others.
 fn end(state: &mut QuarantineState, now: Millis, at: u64, request: u64) -> Vec<QuarantineRecord> {
-    let life = life(at);
+    let incarnation = incarnation(at);
     let broken = QuarantineEvent::Broken {
-        life: &life,
+        incarnation: &incarnation,
         run: BrokenRun {
             print: print(request),
             events: 0,
@@ -31,7 +31,7 @@
     };
     let mut actions = state.handle(now, broken);
     let ended = QuarantineEvent::Ended {
-        life: &life,
+        incarnation: &incarnation,
         evidence: EndEvidence::NoListener,
     };
     actions.extend(state.handle(now, ended));
@@ -132,14 +132,14 @@
         .with_type::<(Vec<(u8, u8)>, Vec<(u8, u8)>, u64)>()
         .for_each(|(ends, clears, shuffle)| {
             let ends = ends.iter().map(|(at, request)| QuarantineRecord::End {
-                life: life(u64::from(*at % 5)),
+                incarnation: incarnation(u64::from(*at % 5)),
                 prints: vec![print(u64::from(*request % 3))],
             });
             let clears = clears
                 .iter()
                 .map(|(at, request)| QuarantineRecord::Cleared {
                     print: print(u64::from(*request % 3)),
-                    lives: vec![life(u64::from(*at % 5))],
+                    incarnations: vec![incarnation(u64::from(*at % 5))],
                 });
             let records: Vec<QuarantineRecord> = ends.chain(clears).collect();
             let mut shuffled = records.clone();
@@ -211,7 +211,7 @@
     for request in 1..40_000 {
         let now = NOW + Millis(request);
         let record = QuarantineRecord::End {
-            life: life(4 + request / 26),
+            incarnation: incarnation(4 + request / 26),
             prints: vec![print(request)],
         };
         tell(&mut vm, now, &[record]);
@@ -301,7 +301,7 @@
     let held = kept(vm.handle(settled, HOUSEKEEPING));
     let expected = QuarantineRecord::Quarantined {
         print: print(7),
-        lives: (1..=3).map(life).collect(),
+        incarnations: (1..=3).map(incarnation).collect(),
         since: TODAY,
     };
     assert_eq!(held, std::slice::from_ref(&expected));
@@ -320,7 +320,7 @@
     // Once the request is cleared, its record goes.
     let cleared = QuarantineRecord::Cleared {
         print: print(7),
-        lives: (1..=3).map(life).collect(),
+        incarnations: (1..=3).map(incarnation).collect(),
     };
     tell(&mut vm, NOW, &[cleared]);
     let removed = vm.handle(NOW, HOUSEKEEPING);
@@ -330,7 +330,7 @@
 #[test]
 fn records_of_another_version_are_told_apart() {
     let record = QuarantineRecord::Ended {
-        life: life(1),
+        incarnation: incarnation(1),
         runs: vec![BrokenRun {
             print: print(7),
             events: 3,
--- a/crates/quarantine/tests/support/mod.rs
+++ b/crates/quarantine/tests/support/mod.rs
@@ -101,7 +101,7 @@
 }
 
 struct Leader {
-    life: UpstreamLife,
+    incarnation: UpstreamIncarnation,
     up_at: Millis,
     runs: Vec<Run>,
 }
@@ -121,7 +121,7 @@
     sendings: Vec<Sending>,
     news: Vec<(Millis, QuarantineRecord)>,
     outcome: FleetOutcome,
-    lives: u64,
+    incarnations: u64,
 }
 
 /// Plays a case.
@@ -138,12 +138,16 @@
             ended: vec![0; case.harmful as usize],
             ..FleetOutcome::default()
         },
-        lives: 0,
+        incarnations: 0,
     };
     for _ in 0..case.leaders {
-        let life = fleet.next_life();
+        let incarnation = fleet.next_incarnation();
         let (up_at, runs) = (Millis::ZERO, Vec::new());
-        fleet.leaders.push(Leader { life, up_at, runs });
+        fleet.leaders.push(Leader {
+            incarnation,
+            up_at,
+            runs,
+        });
     }
     fleet.play();
     fleet.outcome
@@ -173,9 +177,9 @@
         }
     }
 
-    fn next_life(&mut self) -> UpstreamLife {
-        self.lives += 1;
-        UpstreamLife::new(UpstreamId::new(&format!("u{}", self.lives)), None)
+    fn next_incarnation(&mut self) -> UpstreamIncarnation {
+        self.incarnations += 1;
+        UpstreamIncarnation::new(UpstreamId::new(&format!("u{}", self.incarnations)), None)
     }
 
     fn arrive(&mut self, at: Millis, number: u64, is_harmful: bool) {
@@ -274,17 +278,17 @@
                 continue;
             };
             self.outcome.ended[harmful.request.number as usize] += 1;
-            let life = self.next_life();
+            let incarnation = self.next_incarnation();
             let leader = &mut self.leaders[place];
             leader.up_at = now + DOWN_TIME;
-            let ended = std::mem::replace(&mut leader.life, life);
+            let ended = std::mem::replace(&mut leader.incarnation, incarnation);
             for run in std::mem::take(&mut leader.runs) {
                 self.break_off(&ended, run);
             }
         }
     }
 
-    fn break_off(&mut self, life: &UpstreamLife, run: Run) {
+    fn break_off(&mut self, incarnation: &UpstreamIncarnation, run: Run) {
         let now = self.now;
         self.outcome.beside += usize::from(!run.request.is_harmful);
         let broken = run.broken(now);
@@ -293,12 +297,18 @@
         let mut actions = vm.handle(
             now,
             QuarantineEvent::Broken {
-                life,
+                incarnation,
                 run: broken,
                 cause,
             },
         );
-        actions.extend(vm.handle(now, QuarantineEvent::Ended { life, evidence }));
+        actions.extend(vm.handle(
+            now,
+            QuarantineEvent::Ended {
+                incarnation,
+                evidence,
+            },
+        ));
         let is_held = vm.standing(broken.print) != RequestStanding::Good;
         for action in actions {
             if let QuarantineAction::Keep(record) = action {
--- a/crates/quarantine/tests/support/records.rs
+++ b/crates/quarantine/tests/support/records.rs
@@ -8,9 +8,9 @@
     RequestPrint::of(None, "/history", &number.to_le_bytes())
 }
 
-pub fn life(number: u64) -> UpstreamLife {
+pub fn incarnation(number: u64) -> UpstreamIncarnation {
     let id = UpstreamId::new(&format!("u{number}"));
-    UpstreamLife::new(id, Some(UnixMillis(number)))
+    UpstreamIncarnation::new(id, Some(UnixMillis(number)))
 }
 
 /// Records that are to be kept for the others.
--- a/crates/quota/src/fleet.rs
+++ b/crates/quota/src/fleet.rs
@@ -61,15 +61,23 @@
 
     /// The VM that owns an upstream's quota: one of its own failure domain, as who reaches the upstream then reaches the
     /// owner too. Any VM where that has none; none where no VM is known.
-    pub fn owner(&self, life: &UpstreamLife, failure_domain: &FailureDomain) -> Option<&str> {
-        owner_among(&self.vms, life, failure_domain)
+    pub fn owner(
+        &self,
+        incarnation: &UpstreamIncarnation,
+        failure_domain: &FailureDomain,
+    ) -> Option<&str> {
+        owner_among(&self.vms, incarnation, failure_domain)
     }
 
     /// From when on this VM may give permits out that owns an upstream's quota now: once no other VM can go by an earlier list
     /// any more by which another one owns it.
-    pub fn owns_from(&self, life: &UpstreamLife, failure_domain: &FailureDomain) -> Millis {
+    pub fn owns_from(
+        &self,
+        incarnation: &UpstreamIncarnation,
+        failure_domain: &FailureDomain,
+    ) -> Millis {
         let foreign = self.past.iter().filter(|list| {
-            let owner = owner_among(&list.vms, life, failure_domain);
+            let owner = owner_among(&list.vms, incarnation, failure_domain);
             owner != Some(self.own.as_str())
         });
         let ended = foreign.map(|list| list.ended_at).max();
@@ -79,10 +87,10 @@
 
 fn owner_among<'a>(
     vms: &'a VmsByDomain,
-    life: &UpstreamLife,
+    incarnation: &UpstreamIncarnation,
     failure_domain: &FailureDomain,
 ) -> Option<&'a str> {
-    let key = hash_bytes(life.as_str().as_bytes());
+    let key = hash_bytes(incarnation.as_str().as_bytes());
     let best = |vms: &'a [String]| {
         let names = vms.iter().map(String::as_str);
         names.max_by_key(|vm| (rendezvous_score(key, vm), *vm))
--- a/crates/quota/src/limit.rs
+++ b/crates/quota/src/limit.rs
@@ -65,36 +65,39 @@
 /// The limits that upstreams advertise, by their runs: a later run of an upstream has none until it names one.
 #[derive(Debug, Default)]
 pub struct LimitTable {
-    observations: IndexMap<UpstreamLife, KnownLimit>,
+    observations: IndexMap<UpstreamIncarnation, KnownLimit>,
     /// Upstreams whose last report could not be read, and why.
-    unreadable: IndexMap<UpstreamLife, RateError>,
+    unreadable: IndexMap<UpstreamIncarnation, RateError>,
 }
 
 impl LimitTable {
     /// The limit that holds for an upstream.
-    pub fn rate(&self, life: &UpstreamLife) -> Option<SendRate> {
+    pub fn rate(&self, incarnation: &UpstreamIncarnation) -> Option<SendRate> {
         self.observations
-            .get(life)
+            .get(incarnation)
             .and_then(|known| known.observation.rate)
     }
 
     /// The same with the report that it comes from.
-    pub(crate) fn limit(&self, life: &UpstreamLife) -> Option<(LimitObservation, SendRate)> {
-        let observation = self.observations.get(life)?.observation;
+    pub(crate) fn limit(
+        &self,
+        incarnation: &UpstreamIncarnation,
+    ) -> Option<(LimitObservation, SendRate)> {
+        let observation = self.observations.get(incarnation)?.observation;
         observation.rate.map(|rate| (observation, rate))
     }
 
     /// Takes in what an upstream said. Costs nothing for the many that never advertised a limit.
     pub fn note(
         &mut self,
-        life: &UpstreamLife,
+        incarnation: &UpstreamIncarnation,
         observation: LimitObservation,
     ) -> Option<LimitChange> {
-        let Some(known) = self.observations.get_mut(life) else {
+        let Some(known) = self.observations.get_mut(incarnation) else {
             let rate = observation.rate?;
             let listed_at = observation.heard_at;
             self.observations.insert(
-                life.clone(),
+                incarnation.clone(),
                 KnownLimit {
                     observation,
                     listed_at,
@@ -113,8 +116,8 @@
 
     /// Notes a report that could not be read: the one before it holds. Says whether that is to be logged, which it is once for
     /// each run and reason.
-    pub fn note_unreadable(&mut self, life: &UpstreamLife, error: RateError) -> bool {
-        self.unreadable.insert(life.clone(), error) != Some(error)
+    pub fn note_unreadable(&mut self, incarnation: &UpstreamIncarnation, error: RateError) -> bool {
+        self.unreadable.insert(incarnation.clone(), error) != Some(error)
     }
 
     /// Upstreams that advertise a limit now.
@@ -132,14 +135,15 @@
     /// Forgets the upstreams that the directory has not named for long.
     pub fn retain<Keep>(&mut self, is_listed: Keep, now: Millis)
     where
-        Keep: Fn(&UpstreamLife) -> bool,
+        Keep: Fn(&UpstreamIncarnation) -> bool,
     {
-        self.observations.retain(|life, known| {
-            if is_listed(life) {
+        self.observations.retain(|incarnation, known| {
+            if is_listed(incarnation) {
                 known.listed_at = now;
             }
             now.since(known.listed_at) < KEPT_TIME
         });
-        self.unreadable.retain(|life, _| is_listed(life));
+        self.unreadable
+            .retain(|incarnation, _| is_listed(incarnation));
     }
 }
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct LimitReport {
     /// The upstream.
-    pub life: UpstreamLife,
+    pub incarnation: UpstreamIncarnation,
     /// Where it is.
     pub failure_domain: FailureDomain,
     /// Its limit; none where it advertises none any more.
@@ -27,13 +27,13 @@
 impl LimitReport {
     /// The report as of `now`.
     pub(crate) fn of(
-        life: &UpstreamLife,
+        incarnation: &UpstreamIncarnation,
         failure_domain: &FailureDomain,
         observation: LimitObservation,
         now: Millis,
     ) -> Self {
         Self {
-            life: life.clone(),
+            incarnation: incarnation.clone(),
             failure_domain: failure_domain.clone(),
             rate: observation.rate,
             sent_age: now.since(observation.sent_at),
--- a/crates/quota/src/state.rs
+++ b/crates/quota/src/state.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaPlace<'a> {
     /// Which run of it.
-    pub life: &'a UpstreamLife,
+    pub incarnation: &'a UpstreamIncarnation,
     /// Where it is.
     pub failure_domain: &'a FailureDomain,
 }
@@ -44,7 +44,7 @@
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum QuotaAction {
     /// Log the limit an upstream advertises now.
-    NoteChange(UpstreamLife, LimitChange),
+    NoteChange(UpstreamIncarnation, LimitChange),
     /// Tell all other VMs.
     Tell(LimitReport),
     /// Answer the VM that asked.
@@ -57,7 +57,7 @@
     /// Send nothing more there for a while that is no more urgent.
     HoldBack {
         /// The upstream.
-        life: UpstreamLife,
+        incarnation: UpstreamIncarnation,
         /// The rank of the request that was turned away.
         priority: u8,
         /// For how long.
@@ -86,7 +86,7 @@
 /// A question that is on its way.
 #[derive(Clone, Debug)]
 struct AskedPermit {
-    life: UpstreamLife,
+    incarnation: UpstreamIncarnation,
     priority: u8,
     asked_at: Millis,
 }
@@ -103,9 +103,9 @@
 pub struct QuotaState {
     fleet: QuotaFleet,
     limits: LimitTable,
-    owned: IndexMap<UpstreamLife, OwnedQuota>,
+    owned: IndexMap<UpstreamIncarnation, OwnedQuota>,
     asked: IndexMap<u64, AskedPermit>,
-    told_at: IndexMap<UpstreamLife, Millis>,
+    told_at: IndexMap<UpstreamIncarnation, Millis>,
     next_number: u64,
 }
 
@@ -140,26 +140,27 @@
     {
         self.fleet.set(now, vms);
         let fleet = &self.fleet;
-        self.owned
-            .retain(|life, owned| fleet.owner(life, &owned.failure_domain) == Some(fleet.own()));
+        self.owned.retain(|incarnation, owned| {
+            fleet.owner(incarnation, &owned.failure_domain) == Some(fleet.own())
+        });
     }
 
     /// Forgets the upstreams that the directory does not name any more, their limits some time later.
     pub fn retain<Keep>(&mut self, is_listed: Keep, now: Millis)
     where
-        Keep: Fn(&UpstreamLife) -> bool,
+        Keep: Fn(&UpstreamIncarnation) -> bool,
     {
         self.limits.retain(&is_listed, now);
-        self.owned.retain(|life, _| is_listed(life));
-        self.told_at.retain(|life, _| is_listed(life));
+        self.owned.retain(|incarnation, _| is_listed(incarnation));
+        self.told_at.retain(|incarnation, _| is_listed(incarnation));
     }
 
     /// How a request that is to be sent to an upstream gets its permit.
     pub fn ask(&mut self, now: Millis, place: QuotaPlace<'_>, claim: PermitClaim) -> PermitStep {
-        let Some((observation, rate)) = self.limits.limit(place.life) else {
+        let Some((observation, rate)) = self.limits.limit(place.incarnation) else {
             return PermitStep::Free;
         };
-        let Some(owner) = self.fleet.owner(place.life, place.failure_domain) else {
+        let Some(owner) = self.fleet.owner(place.incarnation, place.failure_domain) else {
             return PermitStep::Later(SILENT_TIME);
         };
         if owner == self.fleet.own() {
@@ -173,7 +174,7 @@
         let number = self.next_number;
         self.next_number = number.wrapping_add(1);
         let asked = AskedPermit {
-            life: place.life.clone(),
+            incarnation: place.incarnation.clone(),
             priority: claim.priority,
             asked_at: now,
         };
@@ -186,7 +187,7 @@
             question: PermitQuestion {
                 vm: self.fleet.own().to_owned(),
                 number,
-                report: LimitReport::of(place.life, place.failure_domain, observation, now),
+                report: LimitReport::of(place.incarnation, place.failure_domain, observation, now),
                 claim,
             },
         }
@@ -209,33 +210,36 @@
         place: QuotaPlace<'_>,
         observation: LimitObservation,
     ) -> Vec<QuotaAction> {
-        let Some(change) = self.limits.note(place.life, observation) else {
+        let Some(change) = self.limits.note(place.incarnation, observation) else {
             return Vec::new();
         };
-        let mut actions = vec![QuotaAction::NoteChange(place.life.clone(), change)];
-        let told_at = self.told_at.get(place.life);
+        let mut actions = vec![QuotaAction::NoteChange(place.incarnation.clone(), change)];
+        let told_at = self.told_at.get(place.incarnation);
         if told_at.is_none_or(|at| now.since(*at) >= TELL_PERIOD) {
-            self.told_at.insert(place.life.clone(), now);
-            let report = LimitReport::of(place.life, place.failure_domain, observation, now);
+            self.told_at.insert(place.incarnation.clone(), now);
+            let report = LimitReport::of(place.incarnation, place.failure_domain, observation, now);
             actions.push(QuotaAction::Tell(report));
         }
         actions
     }
 
     fn take_report(&mut self, now: Millis, report: &LimitReport) -> Option<QuotaAction> {
-        let change = self.limits.note(&report.life, report.observation(now))?;
-        Some(QuotaAction::NoteChange(report.life.clone(), change))
+        let change = self
+            .limits
+            .note(&report.incarnation, report.observation(now))?;
+        Some(QuotaAction::NoteChange(report.incarnation.clone(), change))
     }
 
     fn answer(&mut self, now: Millis, question: &PermitQuestion) -> Vec<QuotaAction> {
         let report = &question.report;
         let mut actions: Vec<QuotaAction> = self.take_report(now, report).into_iter().collect();
         let place = QuotaPlace {
-            life: &report.life,
+            incarnation: &report.incarnation,
             failure_domain: &report.failure_domain,
         };
-        let is_own = self.fleet.owner(place.life, place.failure_domain) == Some(self.fleet.own());
-        let verdict = match (self.limits.rate(place.life), is_own) {
+        let is_own =
+            self.fleet.owner(place.incarnation, place.failure_domain) == Some(self.fleet.own());
+        let verdict = match (self.limits.rate(place.incarnation), is_own) {
             (None, _) => PermitVerdict::Unlimited,
             (Some(rate), true) => self.deal(now, place, rate, question.claim),
             // By a list of VMs that is not this one's; one of the two is old.
@@ -260,13 +264,16 @@
         claim: PermitClaim,
     ) -> PermitVerdict {
         let fleet = &self.fleet;
-        let owned = self.owned.entry(place.life.clone()).or_insert_with(|| {
-            let opens_at = fleet.owns_from(place.life, place.failure_domain);
-            OwnedQuota {
-                failure_domain: place.failure_domain.clone(),
-                allowance: SendAllowance::new(rate, opens_at.max(now)),
-            }
-        });
+        let owned = self
+            .owned
+            .entry(place.incarnation.clone())
+            .or_insert_with(|| {
+                let opens_at = fleet.owns_from(place.incarnation, place.failure_domain);
+                OwnedQuota {
+                    failure_domain: place.failure_domain.clone(),
+                    allowance: SendAllowance::new(rate, opens_at.max(now)),
+                }
+            });
         owned.allowance.ask(now, rate, claim)
     }
 
@@ -283,8 +290,8 @@
                     sent_at: asked.asked_at,
                     heard_at: now,
                 };
-                let change = self.limits.note(&asked.life, observation);
-                let note = change.map(|change| QuotaAction::NoteChange(asked.life, change));
+                let change = self.limits.note(&asked.incarnation, observation);
+                let note = change.map(|change| QuotaAction::NoteChange(asked.incarnation, change));
                 note.into_iter().collect()
             }
         }
@@ -300,7 +307,7 @@
 impl AskedPermit {
     fn hold_back(self, wait: Millis) -> QuotaAction {
         QuotaAction::HoldBack {
-            life: self.life,
+            incarnation: self.incarnation,
             priority: self.priority,
             wait,
         }
--- a/crates/quota/tests/fleet.rs
+++ b/crates/quota/tests/fleet.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn a_new_owner_waits_until_nobody_goes_by_the_list_before_it() {
-    let life = UpstreamLife::new(UpstreamId::new("u"), None);
+    let incarnation = UpstreamIncarnation::new(UpstreamId::new("u"), None);
     let domain = FailureDomain::from("east".to_owned());
     let vms = |names: &[&str]| {
         let vms = names
@@ -17,25 +17,25 @@
     let mut first = QuotaFleet::new("a".to_owned());
     first.set(Millis(10_000), vms(&names));
     let owner = first
-        .owner(&life, &domain)
+        .owner(&incarnation, &domain)
         .expect("there is one")
         .to_owned();
     let heir_names: Vec<&str> = names.into_iter().filter(|name| *name != owner).collect();
     first.set(Millis(20_000), vms(&heir_names));
     let heir = first
-        .owner(&life, &domain)
+        .owner(&incarnation, &domain)
         .expect("there is one")
         .to_owned();
     let mut fleet = QuotaFleet::new(heir);
     fleet.set(Millis(10_000), vms(&names));
     fleet.set(Millis(20_000), vms(&heir_names));
-    assert_eq!(fleet.owns_from(&life, &domain), Millis(22_000));
+    assert_eq!(fleet.owns_from(&incarnation, &domain), Millis(22_000));
     // A change that leaves the owner as it was is none to wait for.
     fleet.set(Millis(25_000), vms(&[fleet.own()]));
-    assert_eq!(fleet.owns_from(&life, &domain), Millis::ZERO);
+    assert_eq!(fleet.owns_from(&incarnation, &domain), Millis::ZERO);
     let mut started = QuotaFleet::new(owner);
     started.set(Millis(10_000), vms(&names));
-    assert_eq!(started.owns_from(&life, &domain), Millis(12_000));
+    assert_eq!(started.owns_from(&incarnation, &domain), Millis(12_000));
 }
 
 #[test]
@@ -48,12 +48,12 @@
         [place("east", "a"), place("west", "b"), place("west", "c")],
     );
     for number in 0..20 {
-        let life = UpstreamLife::new(UpstreamId::new(&format!("u{number}")), None);
-        assert_eq!(fleet.owner(&life, &east), Some("a"));
+        let incarnation = UpstreamIncarnation::new(UpstreamId::new(&format!("u{number}")), None);
+        assert_eq!(fleet.owner(&incarnation, &east), Some("a"));
         let south = FailureDomain::from("south".to_owned());
-        assert!(fleet.owner(&life, &south).is_some());
+        assert!(fleet.owner(&incarnation, &south).is_some());
     }
     fleet.set(Millis(2), []);
-    let life = UpstreamLife::new(UpstreamId::new("u"), None);
-    assert_eq!(fleet.owner(&life, &east), None);
+    let incarnation = UpstreamIncarnation::new(UpstreamId::new("u"), None);
+    assert_eq!(fleet.owner(&incarnation, &east), None);
 }
--- a/crates/quota/tests/limit.rs
+++ b/crates/quota/tests/limit.rs
@@ -3,8 +3,8 @@
 use bergamot_quota::{LimitChange, LimitObservation, LimitTable};
 use bergamot_types::prelude::*;
 
-fn life(born: u64) -> UpstreamLife {
-    UpstreamLife::new(UpstreamId::new("u"), Some(UnixMillis(born)))
+fn incarnation(started_at: u64) -> UpstreamIncarnation {
+    UpstreamIncarnation::new(UpstreamId::new("u"), Some(UnixMillis(started_at)))
 }
 
 const fn observation(sent_at: u64, heard_at: u64, milli: Option<u32>) -> LimitObservation {
@@ -91,10 +91,10 @@
     for case in cases {
         let mut table = LimitTable::default();
         for observation in case.observations {
-            table.note(&life(1), observation);
+            table.note(&incarnation(1), observation);
         }
         let expected = case.expected.map(SendRate::from_milli);
-        assert_eq!(table.rate(&life(1)), expected, "{}", case.name);
+        assert_eq!(table.rate(&incarnation(1)), expected, "{}", case.name);
     }
 }
 
@@ -102,43 +102,55 @@
 fn a_change_is_told_once() {
     let mut table = LimitTable::default();
     let named = LimitChange::Named(SendRate::from_milli(2_000));
-    assert_eq!(table.note(&life(1), observation(0, 10, None)), None);
+    assert_eq!(table.note(&incarnation(1), observation(0, 10, None)), None);
     assert_eq!(
-        table.note(&life(1), observation(0, 10, Some(2_000))),
+        table.note(&incarnation(1), observation(0, 10, Some(2_000))),
         Some(named)
     );
-    assert_eq!(table.note(&life(1), observation(11, 20, Some(2_000))), None);
+    assert_eq!(
+        table.note(&incarnation(1), observation(11, 20, Some(2_000))),
+        None
+    );
     let ended = Some(LimitChange::Ended);
-    assert_eq!(table.note(&life(1), observation(21, 30, None)), ended);
-    assert_eq!(table.note(&life(1), observation(31, 40, None)), None);
+    assert_eq!(
+        table.note(&incarnation(1), observation(21, 30, None)),
+        ended
+    );
+    assert_eq!(table.note(&incarnation(1), observation(31, 40, None)), None);
 }
 
 #[test]
 fn a_limit_ends_with_the_run_that_named_it() {
     let mut table = LimitTable::default();
-    table.note(&life(1), observation(0, 10, Some(2_000)));
-    assert_eq!(table.rate(&life(2)), None);
+    table.note(&incarnation(1), observation(0, 10, Some(2_000)));
+    assert_eq!(table.rate(&incarnation(2)), None);
     assert_eq!(table.len(), 1);
-    table.retain(|kept| *kept == life(2), Millis(700_000));
+    table.retain(|kept| *kept == incarnation(2), Millis(700_000));
     assert!(table.is_empty());
 }
 
 #[test]
 fn a_word_that_cannot_be_read_leaves_the_one_before_it_and_is_logged_once() {
     let mut table = LimitTable::default();
-    table.note(&life(1), observation(0, 10, Some(2_000)));
-    assert!(table.note_unreadable(&life(1), RateError::Empty));
-    assert!(!table.note_unreadable(&life(1), RateError::Empty));
-    assert!(table.note_unreadable(&life(1), RateError::Repeated));
-    assert_eq!(table.rate(&life(1)), Some(SendRate::from_milli(2_000)));
+    table.note(&incarnation(1), observation(0, 10, Some(2_000)));
+    assert!(table.note_unreadable(&incarnation(1), RateError::Empty));
+    assert!(!table.note_unreadable(&incarnation(1), RateError::Empty));
+    assert!(table.note_unreadable(&incarnation(1), RateError::Repeated));
+    assert_eq!(
+        table.rate(&incarnation(1)),
+        Some(SendRate::from_milli(2_000))
+    );
 }
 
 #[test]
 fn an_upstream_that_was_out_of_the_directory_for_a_while_has_its_limit_still() {
     let mut table = LimitTable::default();
-    table.note(&life(1), observation(0, 10, Some(2_000)));
+    table.note(&incarnation(1), observation(0, 10, Some(2_000)));
     table.retain(|_| false, Millis(60_000));
-    assert_eq!(table.rate(&life(1)), Some(SendRate::from_milli(2_000)));
+    assert_eq!(
+        table.rate(&incarnation(1)),
+        Some(SendRate::from_milli(2_000))
+    );
     table.retain(|_| true, Millis(90_000));
     table.retain(|_| false, Millis(600_000));
     assert_eq!(table.len(), 1);
--- a/crates/routing/src/book.rs
+++ b/crates/routing/src/book.rs
@@ -20,7 +20,7 @@
 /// All upstreams that were sent to.
 #[derive(Debug)]
 pub struct UpstreamBook {
-    loads: IndexMap<UpstreamLife, UpstreamLoad>,
+    loads: IndexMap<UpstreamIncarnation, UpstreamLoad>,
     pub(crate) sharing: LeaderSharing,
     /// What the other entry VMs have in flight.
     pub occupancy: OccupancyState,
@@ -56,25 +56,25 @@
     /// What is in flight from here.
     pub fn in_flight(&self) -> LeaderCounts {
         let mut counts = LeaderCounts::default();
-        for (life, load) in &self.loads {
-            counts.add(leader_key(life), load.own());
+        for (incarnation, load) in &self.loads {
+            counts.add(leader_key(incarnation), load.own());
         }
         counts
     }
 
     /// The load of one upstream.
-    pub fn load(&self, life: &UpstreamLife) -> UpstreamLoad {
-        self.loads.get(life).copied().unwrap_or_default()
+    pub fn load(&self, incarnation: &UpstreamIncarnation) -> UpstreamLoad {
+        self.loads.get(incarnation).copied().unwrap_or_default()
     }
 
-    fn load_mut(&mut self, life: &UpstreamLife) -> &mut UpstreamLoad {
-        self.loads.entry(life.clone()).or_default()
+    fn load_mut(&mut self, incarnation: &UpstreamIncarnation) -> &mut UpstreamLoad {
+        self.loads.entry(incarnation.clone()).or_default()
     }
 
     /// What all entry VMs have in flight at a leader, as far as known.
-    pub(crate) fn total_at(&self, life: &UpstreamLife, now: Millis) -> LeaderLoad {
-        let others = self.occupancy.others_at(leader_key(life), now);
-        others.plus(self.load(life).own())
+    pub(crate) fn total_at(&self, incarnation: &UpstreamIncarnation, now: Millis) -> LeaderLoad {
+        let others = self.occupancy.others_at(leader_key(incarnation), now);
+        others.plus(self.load(incarnation).own())
     }
 
     /// The limit before an upstream has shown what it bears: somewhat more than an equal part of
@@ -89,18 +89,18 @@
     /// Counts a request for a model with so many prompt tokens that is sent.
     pub fn note_sent(
         &mut self,
-        life: &UpstreamLife,
+        incarnation: &UpstreamIncarnation,
         model: Option<&ModelName>,
         prompt: u32,
         now: Millis,
     ) {
         let patience = self.paces.patience(model);
-        self.load_mut(life).note_sent(prompt, patience, now);
+        self.load_mut(incarnation).note_sent(prompt, patience, now);
     }
 
     /// The time from a send to the first event that is expected from a leader by its load, where its speed is known.
     pub fn expected_first(&self, upstream: &RouteUpstream, prompt: u32, now: Millis) -> Millis {
-        let total = self.total_at(&upstream.life, now);
+        let total = self.total_at(&upstream.incarnation, now);
         let first = upstream.first_event_ms(total, prompt);
         first.map_or(Millis::ZERO, |first| Millis(first as u64))
     }
@@ -117,81 +117,81 @@
         run: SentRun,
         now: Millis,
     ) -> SilenceVerdict {
-        let load = self.load(&upstream.life);
-        let total = self.total_at(&upstream.life, now);
+        let load = self.load(&upstream.incarnation);
+        let total = self.total_at(&upstream.incarnation, now);
         let silence = LeaderSilence {
             length: load.silence(now),
             waited: now.since(run.at),
             run,
             has_begun: load.has_begun(),
             has_queue: !self.occupancy.is_known(now) || total.requests > upstream.slots,
-            is_stalled: self.told.has(now, leader_key(&upstream.life)),
+            is_stalled: self.told.has(now, leader_key(&upstream.incarnation)),
         };
         self.paces.judge(model, silence)
     }
 
     /// Counts the answer to such a request that begins.
-    pub fn note_begun(&mut self, life: &UpstreamLife, prompt: u32) {
-        self.load_mut(life).note_begun(prompt);
+    pub fn note_begun(&mut self, incarnation: &UpstreamIncarnation, prompt: u32) {
+        self.load_mut(incarnation).note_begun(prompt);
     }
 
     /// Counts the end of such a request, whose answer may have begun.
-    pub fn note_ended(&mut self, life: &UpstreamLife, has_begun: bool, prompt: u32) {
-        self.load_mut(life).note_ended(has_begun, prompt);
+    pub fn note_ended(&mut self, incarnation: &UpstreamIncarnation, has_begun: bool, prompt: u32) {
+        self.load_mut(incarnation).note_ended(has_begun, prompt);
     }
 
     /// Notes that a connection is being set up.
-    pub fn note_connecting(&mut self, life: &UpstreamLife, now: Millis) {
-        self.load_mut(life).note_connecting(now);
+    pub fn note_connecting(&mut self, incarnation: &UpstreamIncarnation, now: Millis) {
+        self.load_mut(incarnation).note_connecting(now);
     }
 
     /// Notes that a connection is no longer being set up, whatever became of it.
-    pub fn note_connect_ended(&mut self, life: &UpstreamLife) {
-        self.load_mut(life).note_connect_ended();
+    pub fn note_connect_ended(&mut self, incarnation: &UpstreamIncarnation) {
+        self.load_mut(incarnation).note_connect_ended();
     }
 
     /// Notes that a connection was set up.
-    pub fn note_connected(&mut self, life: &UpstreamLife) {
-        self.load_mut(life).connecting_since = None;
+    pub fn note_connected(&mut self, incarnation: &UpstreamIncarnation) {
+        self.load_mut(incarnation).connecting_since = None;
     }
 
     /// Notes that a connection was not set up.
-    pub fn note_unreached(&mut self, life: &UpstreamLife, now: Millis) {
-        let load = self.load_mut(life);
+    pub fn note_unreached(&mut self, incarnation: &UpstreamIncarnation, now: Millis) {
+        let load = self.load_mut(incarnation);
         load.connecting_since = None;
         load.note_unreached(now);
     }
 
     /// Notes that its group has changed: what was held against it no longer counts.
-    pub fn note_regrouped(&mut self, life: &UpstreamLife) {
-        self.load_mut(life).note_regrouped();
+    pub fn note_regrouped(&mut self, incarnation: &UpstreamIncarnation) {
+        self.load_mut(incarnation).note_regrouped();
     }
 
     /// Notes that something came from it.
-    pub fn note_progress(&mut self, life: &UpstreamLife, now: Millis) {
+    pub fn note_progress(&mut self, incarnation: &UpstreamIncarnation, now: Millis) {
         if !self.told.is_empty() {
-            self.told.forget(leader_key(life));
+            self.told.forget(leader_key(incarnation));
         }
-        self.load_mut(life).note_progress(now);
+        self.load_mut(incarnation).note_progress(now);
     }
 
     /// Notes what the silence of a leader was found to mean by the VM whose short name is `witness`, which is this one.
     pub fn note_silence(
         &mut self,
-        life: &UpstreamLife,
+        incarnation: &UpstreamIncarnation,
         verdict: SilenceVerdict,
         witness: u32,
         now: Millis,
     ) -> SilenceNews {
         if verdict == SilenceVerdict::Still {
-            self.note_quiet(life, now);
+            self.note_quiet(incarnation, now);
         }
         // Without a stream that has begun, it may only be that the first event takes long.
-        if verdict == SilenceVerdict::Sound || !self.load(life).has_begun() {
+        if verdict == SilenceVerdict::Sound || !self.load(incarnation).has_begun() {
             return SilenceNews::default();
         }
-        let leader = leader_key(life);
-        let is_fresh = !self.told.has(now, leader) && self.load_mut(life).note_doubt(now);
+        let leader = leader_key(incarnation);
+        let is_fresh = !self.told.has(now, leader) && self.load_mut(incarnation).note_doubt(now);
         let told = ToldSilence { leader, witness };
         let is_told = verdict >= SilenceVerdict::Stalled && self.told.note(now, told);
         SilenceNews {
@@ -204,7 +204,7 @@
     /// to this VM a moment ago says more.
     pub fn note_told(&mut self, told: ToldSilence, now: Millis) -> bool {
         let mut loads = self.loads.iter();
-        let load = loads.find(|(life, _)| leader_key(life) == told.leader);
+        let load = loads.find(|(incarnation, _)| leader_key(incarnation) == told.leader);
         let is_heard = load.is_some_and(|(_, load)| load.is_heard(now));
         !is_heard && self.told.note(now, told)
     }
@@ -212,15 +212,15 @@
     /// Notes how long the first event of a stream took, against its objective.
     pub fn note_first(
         &mut self,
-        life: &UpstreamLife,
+        incarnation: &UpstreamIncarnation,
         slots: u32,
         took: Millis,
         objective: Millis,
         now: Millis,
     ) {
-        let total = self.total_at(life, now).requests;
+        let total = self.total_at(incarnation, now).requests;
         let first = self.first_limit(slots);
-        let load = self.load_mut(life);
+        let load = self.load_mut(incarnation);
         match took > objective {
             true => load.note_late(first),
             false => load.increase(slots, first, total),
@@ -228,43 +228,43 @@
     }
 
     /// Notes that an upstream is full.
-    pub fn decrease(&mut self, life: &UpstreamLife, slots: u32) {
+    pub fn decrease(&mut self, incarnation: &UpstreamIncarnation, slots: u32) {
         let first = self.first_limit(slots);
-        self.load_mut(life).decrease(first);
+        self.load_mut(incarnation).decrease(first);
     }
 
     /// Notes a whole answer.
-    pub fn note_success(&mut self, life: &UpstreamLife) {
-        self.load_mut(life).note_success();
+    pub fn note_success(&mut self, incarnation: &UpstreamIncarnation) {
+        self.load_mut(incarnation).note_success();
     }
 
     /// Notes a failure.
-    pub fn note_failure(&mut self, life: &UpstreamLife, now: Millis) {
-        self.load_mut(life).note_failure(now);
+    pub fn note_failure(&mut self, incarnation: &UpstreamIncarnation, now: Millis) {
+        self.load_mut(incarnation).note_failure(now);
     }
 
     /// Notes that requests stand still there.
-    pub fn note_quiet(&mut self, life: &UpstreamLife, now: Millis) {
-        self.load_mut(life).note_quiet(now);
+    pub fn note_quiet(&mut self, incarnation: &UpstreamIncarnation, now: Millis) {
+        self.load_mut(incarnation).note_quiet(now);
     }
 
     /// Forgets upstreams that are not listed any more and have nothing in flight.
     pub fn retain<Keep>(&mut self, is_listed: Keep, now: Millis)
     where
-        Keep: Fn(&UpstreamLife) -> bool,
+        Keep: Fn(&UpstreamIncarnation) -> bool,
     {
         self.gates.retain(&is_listed, now);
         self.loads
-            .retain(|life, load| load.in_flight > 0 || is_listed(life));
+            .retain(|incarnation, load| load.in_flight > 0 || is_listed(incarnation));
     }
 
     /// Why these upstreams take no request of this rank now, for the log.
     pub fn describe_gates(&self, pool: &[RouteUpstream], priority: u8, now: Millis) -> String {
         let gates = pool.iter().map(|upstream| {
-            let life = &upstream.life;
-            let state = self.gates.state(life, priority, now);
+            let incarnation = &upstream.incarnation;
+            let state = self.gates.state(incarnation, priority, now);
             let wait = state.opens_at().map_or(Millis::ZERO, |at| at.since(now));
-            format!("{life}:{}:{wait}", state.as_str())
+            format!("{incarnation}:{}:{wait}", state.as_str())
         });
         gates.collect::<Vec<_>>().join(",")
     }
@@ -273,12 +273,12 @@
     pub fn describe(&self, pool: &[RouteUpstream], now: Millis) -> String {
         let is_known = self.occupancy.is_known(now);
         let loads = pool.iter().map(|upstream| {
-            let load = self.load(&upstream.life);
+            let load = self.load(&upstream.incarnation);
             if !is_known {
                 let limit = load.limit(self.first_limit(upstream.slots));
                 return format!("{}/{limit:.1}", load.in_flight);
             }
-            let total = self.total_at(&upstream.life, now);
+            let total = self.total_at(&upstream.incarnation, now);
             let limit = load.common_limit(upstream.slots);
             format!("{}/{limit:.1}:{}", total.requests, total.unread)
         });
--- a/crates/routing/src/choose.rs
+++ b/crates/routing/src/choose.rs
@@ -35,9 +35,9 @@
     /// Where this VM is.
     pub home: &'a FailureDomain,
     /// Upstreams that the request was sent to already.
-    pub tried: &'a [UpstreamLife],
+    pub tried: &'a [UpstreamIncarnation],
     /// Upstreams to which a connection is open that nobody uses.
-    pub idle: &'a [UpstreamLife],
+    pub idle: &'a [UpstreamIncarnation],
     /// Whether it was begun elsewhere and needs no room: what it got so far would be lost with it.
     pub must_go_on: bool,
     /// Tokens of its prompt.
@@ -69,7 +69,7 @@
 impl UpstreamBook {
     /// Whether one more request may be sent.
     fn has_room(&self, upstream: &RouteUpstream) -> bool {
-        let load = self.load(&upstream.life);
+        let load = self.load(&upstream.incarnation);
         // Plain services have no first events to learn from; they turn away what is too much.
         let first = match upstream.group {
             Some(_) => self.first_limit(upstream.slots),
@@ -84,8 +84,10 @@
     /// 57 upstreams; five days, five plays before and two after): 26 running requests are no bound on what waits
     /// to be read, and where prompts are long a pass that reads several takes longer than the objective.
     fn is_in_time(&self, upstream: &RouteUpstream, ask: &UpstreamAsk<'_>, now: Millis) -> bool {
-        let total = self.total_at(&upstream.life, now);
-        let limit = self.load(&upstream.life).common_limit(upstream.slots);
+        let total = self.total_at(&upstream.incarnation, now);
+        let limit = self
+            .load(&upstream.incarnation)
+            .common_limit(upstream.slots);
         let in_time = ask.objective.0 as f64 * IN_TIME_PART;
         let first = upstream.first_event_ms(total, ask.prompt);
         let is_early = total.unread == 0 || first.is_none_or(|first| first <= in_time);
@@ -94,8 +96,10 @@
 
     /// Whether a leader has so little to do that others may send there at the same time.
     fn is_idle(&self, upstream: &RouteUpstream, ask: &UpstreamAsk<'_>, now: Millis) -> bool {
-        let total = self.total_at(&upstream.life, now);
-        let limit = self.load(&upstream.life).common_limit(upstream.slots);
+        let total = self.total_at(&upstream.incarnation, now);
+        let limit = self
+            .load(&upstream.incarnation)
+            .common_limit(upstream.slots);
         let first = upstream.first_event_ms(total, ask.prompt);
         let early = ask.objective.0 as f64 * IDLE_PART;
         let is_early = first.is_none_or(|first| first <= early);
@@ -129,8 +133,8 @@
         }
         // Those that a connection is open to come first: 195 VMs that drew among all of 40 leaders opened a new one for
         // each third request, twice as many as now (five days with trouble, one play each).
-        let is_idle = |it: &RouteUpstream| ask.idle.contains(&it.life);
-        let draw = |it: &RouteUpstream| rendezvous_score(ask.draw, it.life.as_str());
+        let is_idle = |it: &RouteUpstream| ask.idle.contains(&it.incarnation);
+        let draw = |it: &RouteUpstream| rendezvous_score(ask.draw, it.incarnation.as_str());
         usable.sort_by_cached_key(|it| (!is_idle(it), draw(it)));
         // One of the two is near: what goes to other failure domains is paid for.
         let near = usable.iter().position(|it| it.failure_domain == *ask.home);
@@ -159,9 +163,9 @@
     /// How much a leader has to do, in requests.
     fn work_at(&self, upstream: &RouteUpstream, now: Millis) -> f64 {
         if upstream.group.is_none() || !self.occupancy.is_known(now) {
-            return f64::from(self.load(&upstream.life).in_flight);
+            return f64::from(self.load(&upstream.incarnation).in_flight);
         }
-        let total = self.total_at(&upstream.life, now);
+        let total = self.total_at(&upstream.incarnation, now);
         f64::from(total.requests) + f64::from(total.unread) / TOKENS_PER_REQUEST
     }
 
@@ -173,13 +177,13 @@
         ask: &UpstreamAsk<'_>,
         now: Millis,
     ) -> UpstreamChoice<'a> {
-        let dark = dark_domains(pool, |upstream| self.load(&upstream.life), now);
+        let dark = dark_domains(pool, |upstream| self.load(&upstream.incarnation), now);
         let is_told = |upstream: &RouteUpstream| {
-            !self.told.is_empty() && self.told.has(now, leader_key(&upstream.life))
+            !self.told.is_empty() && self.told.has(now, leader_key(&upstream.incarnation))
         };
         let is_avoided = |upstream: &RouteUpstream| {
             dark.contains(&&upstream.failure_domain)
-                || self.load(&upstream.life).is_avoided(now)
+                || self.load(&upstream.incarnation).is_avoided(now)
                 || is_told(upstream)
         };
         let score = |upstream: &RouteUpstream| {
@@ -187,12 +191,12 @@
                 true => 0.0,
                 false => AWAY_PENALTY,
             };
-            let connect = match ask.idle.contains(&upstream.life) {
+            let connect = match ask.idle.contains(&upstream.incarnation) {
                 true => 0.0,
                 false => CONNECT_PENALTY,
             };
             let work = self.work_at(upstream, now) + away + connect;
-            let is_shared = !self.sharing.is_own(&upstream.life);
+            let is_shared = !self.sharing.is_own(&upstream.incarnation);
             (
                 is_avoided(upstream),
                 is_shared,
@@ -201,12 +205,12 @@
         };
         let mut fresh = pool
             .iter()
-            .filter(|upstream| !ask.tried.contains(&upstream.life))
+            .filter(|upstream| !ask.tried.contains(&upstream.incarnation))
             .peekable();
         if fresh.peek().is_none() {
             return UpstreamChoice::None;
         }
-        let gate = |it: &RouteUpstream| self.gates.state(&it.life, ask.priority, now);
+        let gate = |it: &RouteUpstream| self.gates.state(&it.incarnation, ask.priority, now);
         let (fresh, closed): (Vec<_>, Vec<_>) = fresh.partition(|it| gate(it).is_open());
         if fresh.is_empty() {
             let opens = closed.into_iter().filter_map(|it| gate(it).opens_at());
@@ -215,12 +219,12 @@
         if let Some(place) = ask.apart {
             return at_place(fresh, &is_avoided, place);
         }
-        let has_own = pool
-            .iter()
-            .any(|it| self.sharing.is_own(&it.life) && !is_avoided(it) && gate(it).is_open());
+        let has_own = pool.iter().any(|it| {
+            self.sharing.is_own(&it.incarnation) && !is_avoided(it) && gate(it).is_open()
+        });
         let usable = fresh.into_iter().filter(|upstream| {
             let is_plain = upstream.group.is_none();
-            ask.must_go_on || is_plain || self.sharing.is_own(&upstream.life) || !has_own
+            ask.must_go_on || is_plain || self.sharing.is_own(&upstream.incarnation) || !has_own
         });
         let roomy = self.with_room(usable.collect(), ask, &is_avoided, now);
         let scored = roomy
@@ -230,7 +234,7 @@
             let by_score = (a_score.0, a_score.1)
                 .cmp(&(b_score.0, b_score.1))
                 .then(a_score.2.total_cmp(&b_score.2));
-            let tie = |it: &RouteUpstream| rendezvous_score(ask.draw, it.life.as_str());
+            let tie = |it: &RouteUpstream| rendezvous_score(ask.draw, it.incarnation.as_str());
             by_score.then_with(|| tie(a).cmp(&tie(b)))
         });
         best.map_or(UpstreamChoice::Full, |(_, chosen)| {
@@ -252,7 +256,7 @@
     if !usable.iter().all(|it| is_avoided(it)) {
         usable.retain(|it| !is_avoided(it));
     }
-    usable.sort_unstable_by(|a, b| a.life.as_str().cmp(b.life.as_str()));
+    usable.sort_unstable_by(|a, b| a.incarnation.as_str().cmp(b.incarnation.as_str()));
     let index = place % usable.len().max(1) as u64;
     let chosen = usable.get(index as usize);
     chosen.map_or(UpstreamChoice::None, |it| UpstreamChoice::Chosen(it))
--- a/crates/routing/src/gate.rs
+++ b/crates/routing/src/gate.rs
@@ -87,21 +87,27 @@
 /// The upstreams that do not take all requests, by their runs.
 #[derive(Clone, Debug, Default)]
 pub struct GateTable {
-    gates: IndexMap<UpstreamLife, UpstreamGate>,
+    gates: IndexMap<UpstreamIncarnation, UpstreamGate>,
 }
 
 impl GateTable {
     /// Whether an upstream takes a request of this rank.
-    pub fn state(&self, life: &UpstreamLife, priority: u8, now: Millis) -> GateState {
-        match self.gates.get(life) {
+    pub fn state(&self, incarnation: &UpstreamIncarnation, priority: u8, now: Millis) -> GateState {
+        match self.gates.get(incarnation) {
             None => GateState::Open,
             Some(gate) => gate.state(priority, now),
         }
     }
 
     /// Sends nothing to an upstream until then that is no more urgent than this.
-    pub fn hold_back(&mut self, life: &UpstreamLife, priority: u8, until: Millis, now: Millis) {
-        let gate = self.gate_mut(life, now);
+    pub fn hold_back(
+        &mut self,
+        incarnation: &UpstreamIncarnation,
+        priority: u8,
+        until: Millis,
+        now: Millis,
+    ) {
+        let gate = self.gate_mut(incarnation, now);
         gate.held
             .retain(|it| it.until > now && it.priority != priority);
         gate.held.push(HeldRank { priority, until });
@@ -109,26 +115,33 @@
 
     /// Sends nothing to an upstream until then, whatever its rank. Of several such times the latest holds, as each was asked
     /// for. Says whether this VM was not backing off from it already.
-    pub fn back_off(&mut self, life: &UpstreamLife, until: Millis, now: Millis) -> bool {
-        let gate = self.gate_mut(life, now);
+    pub fn back_off(
+        &mut self,
+        incarnation: &UpstreamIncarnation,
+        until: Millis,
+        now: Millis,
+    ) -> bool {
+        let gate = self.gate_mut(incarnation, now);
         let is_new = gate.backs_off_until <= now;
         gate.backs_off_until = gate.backs_off_until.max(until);
         is_new
     }
 
     /// Sends nothing to this run of an upstream any more. Says whether it had not said so before.
-    pub fn leave(&mut self, life: &UpstreamLife, now: Millis) -> bool {
-        let gate = self.gate_mut(life, now);
+    pub fn leave(&mut self, incarnation: &UpstreamIncarnation, now: Millis) -> bool {
+        let gate = self.gate_mut(incarnation, now);
         !std::mem::replace(&mut gate.is_leaving, true)
     }
 
     /// Whether an upstream says that it leaves.
-    pub fn is_leaving(&self, life: &UpstreamLife) -> bool {
-        self.gates.get(life).is_some_and(|gate| gate.is_leaving)
+    pub fn is_leaving(&self, incarnation: &UpstreamIncarnation) -> bool {
+        self.gates
+            .get(incarnation)
+            .is_some_and(|gate| gate.is_leaving)
     }
 
-    fn gate_mut(&mut self, life: &UpstreamLife, now: Millis) -> &mut UpstreamGate {
-        let gate = self.gates.entry(life.clone()).or_default();
+    fn gate_mut(&mut self, incarnation: &UpstreamIncarnation, now: Millis) -> &mut UpstreamGate {
+        let gate = self.gates.entry(incarnation.clone()).or_default();
         gate.listed_at = gate.listed_at.max(now);
         gate
     }
@@ -140,8 +153,8 @@
     }
 
     /// Forgets that requests were held back, as the upstream advertises no limit any more.
-    pub fn release(&mut self, life: &UpstreamLife) {
-        if let Some(gate) = self.gates.get_mut(life) {
+    pub fn release(&mut self, incarnation: &UpstreamIncarnation) {
+        if let Some(gate) = self.gates.get_mut(incarnation) {
             gate.held.clear();
         }
     }
@@ -149,10 +162,10 @@
     /// Forgets what has passed, and upstreams that the directory has not named for long.
     pub fn retain<Keep>(&mut self, is_listed: Keep, now: Millis)
     where
-        Keep: Fn(&UpstreamLife) -> bool,
+        Keep: Fn(&UpstreamIncarnation) -> bool,
     {
-        self.gates.retain(|life, gate| {
-            if is_listed(life) {
+        self.gates.retain(|incarnation, gate| {
+            if is_listed(incarnation) {
                 gate.listed_at = now;
             }
             !gate.is_idle(now) && now.since(gate.listed_at) < KEPT_TIME
--- a/crates/routing/src/sharing.rs
+++ b/crates/routing/src/sharing.rs
@@ -17,11 +17,11 @@
     /// Entry VMs that send to the same upstreams.
     vms: usize,
     /// Leaders that are this VM's to use; none while there are few entry VMs.
-    own: Option<IndexSet<UpstreamLife>>,
+    own: Option<IndexSet<UpstreamIncarnation>>,
     /// The entry VMs by which leaders were shared out.
     sharers: Vec<String>,
     /// For each leader how many entry VMs come before this one, by those sharers.
-    before: IndexMap<UpstreamLife, usize>,
+    before: IndexMap<UpstreamIncarnation, usize>,
 }
 
 impl LeaderSharing {
@@ -42,20 +42,22 @@
             let users = users_of(leader.slots);
             is_shared |= users < vms.len();
             // Worked out once: at 400 leaders and 300 entry VMs it is 120,000 scores.
-            let before = self.before.get(&leader.life).copied();
-            let before = before.unwrap_or_else(|| vms_before(&leader.life, vms, own));
+            let before = self.before.get(&leader.incarnation).copied();
+            let before = before.unwrap_or_else(|| vms_before(&leader.incarnation, vms, own));
             if before < users {
-                mine.insert(leader.life.clone());
+                mine.insert(leader.incarnation.clone());
             }
-            known.insert(leader.life.clone(), before);
+            known.insert(leader.incarnation.clone(), before);
         }
         self.before = known;
         self.own = is_shared.then_some(mine);
     }
 
     /// Whether a leader is this VM's to use.
-    pub fn is_own(&self, life: &UpstreamLife) -> bool {
-        self.own.as_ref().is_none_or(|own| own.contains(life))
+    pub fn is_own(&self, incarnation: &UpstreamIncarnation) -> bool {
+        self.own
+            .as_ref()
+            .is_none_or(|own| own.contains(incarnation))
     }
 
     /// Entry VMs that use a leader with so many slots; one at least.
@@ -69,7 +71,7 @@
 }
 
 /// How many of the entry VMs `vms` come before `own` in the order in which they use a leader.
-fn vms_before(leader: &UpstreamLife, vms: &[&str], own: &str) -> usize {
+fn vms_before(leader: &UpstreamIncarnation, vms: &[&str], own: &str) -> usize {
     let key = hash_bytes(leader.as_str().as_bytes());
     let score = rendezvous_score(key, own);
     let higher = vms.iter().filter(|vm| rendezvous_score(key, vm) > score);
--- a/crates/routing/src/upstream.rs
+++ b/crates/routing/src/upstream.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, PartialEq, Debug)]
 pub struct RouteUpstream {
     /// Which run of it.
-    pub life: UpstreamLife,
+    pub incarnation: UpstreamIncarnation,
     /// Where it listens.
     pub addr: SocketAddr,
     /// Where it can be cut off.
--- a/crates/routing/tests/book.rs
+++ b/crates/routing/tests/book.rs
@@ -8,13 +8,13 @@
 const NOW: Millis = Millis(10_000);
 const SLOTS: u32 = 26;
 
-fn life(name: &str) -> UpstreamLife {
-    UpstreamLife::new(UpstreamId::new(name), None)
+fn incarnation(name: &str) -> UpstreamIncarnation {
+    UpstreamIncarnation::new(UpstreamId::new(name), None)
 }
 
 fn leader(name: &str, domain: &str) -> RouteUpstream {
     RouteUpstream {
-        life: life(name),
+        incarnation: incarnation(name),
         addr: ([127, 0, 0, 1], 1).into(),
         failure_domain: FailureDomain::new(domain),
         slots: SLOTS,
@@ -186,20 +186,20 @@
         for state in &case.leaders {
             let leader = leader(state.name, state.domain);
             for _ in 0..state.running {
-                book.note_sent(&leader.life, None, 100, NOW);
-                book.note_begun(&leader.life, 100);
+                book.note_sent(&leader.incarnation, None, 100, NOW);
+                book.note_begun(&leader.incarnation, 100);
             }
             if state.unread > 0 {
-                book.note_sent(&leader.life, None, state.unread, NOW);
+                book.note_sent(&leader.incarnation, None, state.unread, NOW);
             }
             if state.is_quiet {
-                book.note_quiet(&leader.life, NOW);
+                book.note_quiet(&leader.incarnation, NOW);
             }
             pool.push(leader);
         }
         let mut chosen: Vec<String> = Vec::new();
         for draw in 0..200 {
-            let idle: Vec<_> = case.idle.iter().map(|name| life(name)).collect();
+            let idle: Vec<_> = case.idle.iter().map(|name| incarnation(name)).collect();
             let ask = UpstreamAsk {
                 priority: 0,
                 idle: &idle,
@@ -212,7 +212,7 @@
                 apart: None,
             };
             if let UpstreamChoice::Chosen(upstream) = book.choose(&pool, &ask, NOW) {
-                chosen.push(upstream.life.to_string());
+                chosen.push(upstream.incarnation.to_string());
             }
         }
         chosen.sort();
@@ -277,12 +277,12 @@
         let mut book = book();
         let pool = [leader("a", "east"), leader("b", "east")];
         // So that the other one is taken only if this one is left alone.
-        book.note_sent(&pool[1].life, None, 100, NOW);
+        book.note_sent(&pool[1].incarnation, None, 100, NOW);
         for _ in 0..case.begun {
-            book.note_connecting(&pool[0].life, NOW);
+            book.note_connecting(&pool[0].incarnation, NOW);
         }
         for _ in 0..case.ended {
-            book.note_connect_ended(&pool[0].life);
+            book.note_connect_ended(&pool[0].incarnation);
         }
         let east = FailureDomain::new("east");
         let choice = book.choose(&pool, &short_ask(&east), NOW + Millis(100));
@@ -339,16 +339,16 @@
     for case in cases {
         let (mut other, mut own) = (book(), book());
         let pool = [leader("a", "east"), leader("b", "east")];
-        let life = &pool[0].life;
-        other.note_sent(life, None, 100, NOW);
+        let incarnation = &pool[0].incarnation;
+        other.note_sent(incarnation, None, 100, NOW);
         if case.has_begun {
-            other.note_begun(life, 100);
+            other.note_begun(incarnation, 100);
         }
         // So that the other one is taken only if this one is left alone.
-        own.note_sent(&pool[1].life, None, 100, NOW);
-        let news = other.note_silence(life, case.verdict, 7, NOW);
-        let again = other.note_silence(life, case.verdict, 7, NOW + Millis(40));
-        let later = other.note_silence(life, case.verdict, 7, NOW + Millis(400));
+        own.note_sent(&pool[1].incarnation, None, 100, NOW);
+        let news = other.note_silence(incarnation, case.verdict, 7, NOW);
+        let again = other.note_silence(incarnation, case.verdict, 7, NOW + Millis(40));
+        let later = other.note_silence(incarnation, case.verdict, 7, NOW + Millis(400));
         let for_coordinator = [news, again, later].map(|it| it.is_for_coordinator);
         assert_eq!(for_coordinator, case.for_coordinator, "{}", case.name);
         if let Some(told) = news.for_vms {
@@ -359,6 +359,11 @@
         let UpstreamChoice::Chosen(chosen) = own.choose(&pool, &ask, NOW + Millis(40)) else {
             panic!("{}: none is chosen", case.name);
         };
-        assert_eq!(chosen.life, self::life(case.chosen), "{}", case.name);
+        assert_eq!(
+            chosen.incarnation,
+            self::incarnation(case.chosen),
+            "{}",
+            case.name
+        );
     }
 }
--- a/crates/routing/tests/gate.rs
+++ b/crates/routing/tests/gate.rs
@@ -3,27 +3,27 @@
 use bergamot_routing::{GateState, GateTable};
 use bergamot_types::prelude::*;
 
-fn life() -> UpstreamLife {
-    UpstreamLife::new(UpstreamId::new("u"), Some(UnixMillis(1)))
+fn incarnation() -> UpstreamIncarnation {
+    UpstreamIncarnation::new(UpstreamId::new("u"), Some(UnixMillis(1)))
 }
 
 #[test]
 fn where_the_more_urgent_wait_the_less_urgent_do() {
     let mut gates = GateTable::default();
-    gates.hold_back(&life(), 3, Millis(500), Millis(0));
-    assert_eq!(gates.state(&life(), 2, Millis(0)), GateState::Open);
+    gates.hold_back(&incarnation(), 3, Millis(500), Millis(0));
+    assert_eq!(gates.state(&incarnation(), 2, Millis(0)), GateState::Open);
     assert_eq!(
-        gates.state(&life(), 3, Millis(0)),
+        gates.state(&incarnation(), 3, Millis(0)),
         GateState::Limited(Millis(500))
     );
     assert_eq!(
-        gates.state(&life(), 4, Millis(499)),
+        gates.state(&incarnation(), 4, Millis(499)),
         GateState::Limited(Millis(500))
     );
-    assert_eq!(gates.state(&life(), 4, Millis(500)), GateState::Open);
-    gates.hold_back(&life(), 1, Millis(900), Millis(100));
+    assert_eq!(gates.state(&incarnation(), 4, Millis(500)), GateState::Open);
+    gates.hold_back(&incarnation(), 1, Millis(900), Millis(100));
     assert_eq!(
-        gates.state(&life(), 4, Millis(200)),
+        gates.state(&incarnation(), 4, Millis(200)),
         GateState::Limited(Millis(900))
     );
 }
@@ -31,11 +31,11 @@
 #[test]
 fn a_later_run_under_the_same_id_takes_requests() {
     let mut gates = GateTable::default();
-    gates.hold_back(&life(), 0, Millis(500), Millis(0));
-    let next = UpstreamLife::new(UpstreamId::new("u"), Some(UnixMillis(2)));
+    gates.hold_back(&incarnation(), 0, Millis(500), Millis(0));
+    let next = UpstreamIncarnation::new(UpstreamId::new("u"), Some(UnixMillis(2)));
     assert_eq!(gates.state(&next, 0, Millis(0)), GateState::Open);
-    gates.release(&life());
-    assert_eq!(gates.state(&life(), 0, Millis(0)), GateState::Open);
+    gates.release(&incarnation());
+    assert_eq!(gates.state(&incarnation(), 0, Millis(0)), GateState::Open);
 }
 
 struct RestCase {
@@ -83,9 +83,9 @@
     for case in cases {
         let mut gates = GateTable::default();
         for end in case.ends {
-            gates.back_off(&life(), Millis(*end), Millis(0));
+            gates.back_off(&incarnation(), Millis(*end), Millis(0));
         }
-        let state = gates.state(&life(), 0, Millis(case.at));
+        let state = gates.state(&incarnation(), 0, Millis(case.at));
         assert_eq!(state, case.expected, "{}", case.name);
     }
 }
@@ -93,22 +93,22 @@
 #[test]
 fn a_rest_outlasts_the_end_of_a_limit_and_ends_with_the_run() {
     let mut gates = GateTable::default();
-    gates.back_off(&life(), Millis(3_000), Millis(0));
-    gates.hold_back(&life(), 0, Millis(5_000), Millis(0));
-    gates.release(&life());
+    gates.back_off(&incarnation(), Millis(3_000), Millis(0));
+    gates.hold_back(&incarnation(), 0, Millis(5_000), Millis(0));
+    gates.release(&incarnation());
     assert_eq!(
-        gates.state(&life(), 0, Millis(1)),
+        gates.state(&incarnation(), 0, Millis(1)),
         GateState::BackingOff(Millis(3_000))
     );
     gates.retain(|_| true, Millis(1));
     assert_eq!(gates.backing_off(Millis(1)), 1);
-    let next = UpstreamLife::new(UpstreamId::new("u"), Some(UnixMillis(2)));
+    let next = UpstreamIncarnation::new(UpstreamId::new("u"), Some(UnixMillis(2)));
     assert_eq!(gates.state(&next, 0, Millis(1)), GateState::Open);
     gates.retain(|_| false, Millis(2_999));
     assert_eq!(gates.backing_off(Millis(2_999)), 1, "it may come back");
     gates.retain(|_| true, Millis(3_000));
     assert_eq!(
-        gates.state(&life(), 0, Millis(1)),
+        gates.state(&incarnation(), 0, Millis(1)),
         GateState::Open,
         "it was forgotten"
     );
@@ -117,17 +117,20 @@
 #[test]
 fn an_upstream_that_leaves_does_so_until_its_next_run() {
     let mut gates = GateTable::default();
-    assert!(gates.leave(&life(), Millis(0)));
-    assert!(!gates.leave(&life(), Millis(5)), "it is told once");
-    gates.back_off(&life(), Millis(10), Millis(5));
-    gates.release(&life());
-    assert_eq!(gates.state(&life(), 0, Millis(20)), GateState::Leaving);
+    assert!(gates.leave(&incarnation(), Millis(0)));
+    assert!(!gates.leave(&incarnation(), Millis(5)), "it is told once");
+    gates.back_off(&incarnation(), Millis(10), Millis(5));
+    gates.release(&incarnation());
+    assert_eq!(
+        gates.state(&incarnation(), 0, Millis(20)),
+        GateState::Leaving
+    );
     // Out of the directory and back again.
     gates.retain(|_| false, Millis(60_000));
     gates.retain(|_| true, Millis(90_000));
-    assert!(gates.is_leaving(&life()));
-    let next = UpstreamLife::new(UpstreamId::new("u"), Some(UnixMillis(2)));
+    assert!(gates.is_leaving(&incarnation()));
+    let next = UpstreamIncarnation::new(UpstreamId::new("u"), Some(UnixMillis(2)));
     assert_eq!(gates.state(&next, 0, Millis(90_000)), GateState::Open);
     gates.retain(|kept| *kept == next, Millis(700_000));
-    assert!(!gates.is_leaving(&life()), "it is gone");
+    assert!(!gates.is_leaving(&incarnation()), "it is gone");
 }
--- a/crates/routing/tests/reach.rs
+++ b/crates/routing/tests/reach.rs
@@ -8,7 +8,7 @@
 
 fn leader(name: &str, domain: &str) -> RouteUpstream {
     RouteUpstream {
-        life: UpstreamLife::new(UpstreamId::new(name), None),
+        incarnation: UpstreamIncarnation::new(UpstreamId::new(name), None),
         addr: ([127, 0, 0, 1], 1).into(),
         failure_domain: FailureDomain::new(domain),
         slots: 22,
@@ -39,10 +39,10 @@
         .filter(|it| it.failure_domain.as_str() == HOME)
     {
         for _ in 0..3 {
-            book.note_sent(&leader.life, None, 100, Millis(1_000));
-            book.note_begun(&leader.life, 100);
+            book.note_sent(&leader.incarnation, None, 100, Millis(1_000));
+            book.note_begun(&leader.incarnation, 100);
         }
-        book.note_progress(&leader.life, Millis(1_000));
+        book.note_progress(&leader.incarnation, Millis(1_000));
     }
     book
 }
@@ -121,11 +121,11 @@
         let pool = pool();
         let mut book = book();
         for (name, seen) in case.seen {
-            let life = UpstreamLife::new(UpstreamId::new(name), None);
+            let incarnation = UpstreamIncarnation::new(UpstreamId::new(name), None);
             match seen {
-                Connecting(at) => book.note_connecting(&life, Millis(*at)),
-                Unreached(at) => book.note_unreached(&life, Millis(*at)),
-                Progress(at) => book.note_progress(&life, Millis(*at)),
+                Connecting(at) => book.note_connecting(&incarnation, Millis(*at)),
+                Unreached(at) => book.note_unreached(&incarnation, Millis(*at)),
+                Progress(at) => book.note_progress(&incarnation, Millis(*at)),
             }
         }
         assert_eq!(chosen(&book, &pool, 1_000), case.domains, "{}", case.name);
@@ -137,11 +137,11 @@
 fn a_domain_is_tried_again_after_a_time() {
     let (pool, mut book) = (pool(), book());
     for leader in &pool[..8] {
-        book.note_progress(&leader.life, Millis(2_900));
+        book.note_progress(&leader.incarnation, Millis(2_900));
     }
     for name in ["west-0", "west-1"] {
-        let life = UpstreamLife::new(UpstreamId::new(name), None);
-        book.note_unreached(&life, Millis(900));
+        let incarnation = UpstreamIncarnation::new(UpstreamId::new(name), None);
+        book.note_unreached(&incarnation, Millis(900));
     }
     assert_eq!(chosen(&book, &pool, 2_800), ["north"]);
     assert_eq!(chosen(&book, &pool, 2_950), ["north", "west"]);
--- a/crates/routing/tests/sharing.rs
+++ b/crates/routing/tests/sharing.rs
@@ -5,7 +5,7 @@
 
 fn leader(number: usize, slots: u32) -> RouteUpstream {
     RouteUpstream {
-        life: UpstreamLife::new(UpstreamId::new(&format!("leader-{number}")), None),
+        incarnation: UpstreamIncarnation::new(UpstreamId::new(&format!("leader-{number}")), None),
         addr: ([127, 0, 0, 1], 1).into(),
         failure_domain: FailureDomain::new("east"),
         slots,
@@ -67,7 +67,7 @@
             sharing.share(leaders.iter(), &names, own);
             assert_eq!(sharing.users(case.slots), case.users, "{}", case.name);
             for (uses, leader) in uses.iter_mut().zip(&leaders) {
-                *uses += usize::from(sharing.is_own(&leader.life));
+                *uses += usize::from(sharing.is_own(&leader.incarnation));
             }
         }
         let is_right = uses.iter().all(|uses| *uses == case.users);
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -6,9 +6,9 @@
 
 pub mod hash;
 pub mod id;
+pub mod incarnation;
 pub mod invariant;
 pub mod kind;
-pub mod life;
 pub mod mutate;
 pub mod prelude;
 pub mod rate;
@@ -19,8 +19,8 @@
     AccountToken, ClientAccount, EntryId, FabricDomain, FailureDomain, GroupId, ModelName,
     RequestId, ServiceName, UpstreamId, VmId,
 };
+pub use incarnation::{UnixMillis, UpstreamIncarnation};
 pub use invariant::Invariant;
 pub use kind::{ErrorKind, RanState};
-pub use life::{UnixMillis, UpstreamLife};
 pub use rate::{RateError, SendRate};
 pub use time::{Millis, SpanError};
--- a/crates/types/src/prelude.rs
+++ b/crates/types/src/prelude.rs
@@ -5,8 +5,8 @@
     ClientAccount, EntryId, FabricDomain, FailureDomain, GroupId, ModelName, RequestId,
     ServiceName, UpstreamId, VmId,
 };
+pub use crate::incarnation::{UnixMillis, UpstreamIncarnation};
 pub use crate::invariant::Invariant;
 pub use crate::kind::{ErrorKind, RanState};
-pub use crate::life::{UnixMillis, UpstreamLife};
 pub use crate::rate::{RateError, SendRate};
 pub use crate::time::{Millis, SpanError};
