--- /dev/null
+++ b/crates/feed/src/freshness.rs
@@ -0,0 +1,46 @@
+//! Age of the locally known store state.
+
+use bergamot_types::prelude::*;
+
+/// Tracks when the locally known store state was last current.
+#[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
+pub struct Freshness {
+    /// The latest time at which the store held nothing newer than the known state.
+    current_at: Millis,
+    /// A store revision that was observed at a later time and is not known locally yet.
+    pending_revision: Option<(u64, Millis)>,
+}
+
+impl Freshness {
+    /// Records that a call started at `call_started_at` reported the store at `revision`, while
+    /// everything up to `known` is known locally.
+    pub fn observe_store(&mut self, revision: u64, known: u64, call_started_at: Millis) {
+        match revision <= known {
+            true => self.mark_current(call_started_at),
+            false if self.pending_revision.is_none() => {
+                self.pending_revision = Some((revision, call_started_at))
+            }
+            false => {}
+        }
+    }
+
+    /// Records that everything up to `known` is known locally now.
+    pub fn observe_known(&mut self, known: u64) {
+        if let Some((_, call_started_at)) = self
+            .pending_revision
+            .take_if(|(revision, _)| *revision <= known)
+        {
+            self.mark_current(call_started_at);
+        }
+    }
+
+    /// Records that the known state was the latest at `at`.
+    pub fn mark_current(&mut self, at: Millis) {
+        self.current_at = self.current_at.max(at);
+    }
+
+    /// Returns the maximum age of the known state.
+    pub fn age(&self, now: Millis) -> Millis {
+        now.since(self.current_at)
+    }
+}
--- /dev/null
+++ b/crates/feed/src/table.rs
@@ -0,0 +1,124 @@
+//! Latest change of each key, for batches sent to peers.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use bergamot_ports::{StoreEvent, StoreItem};
+use indexmap::IndexMap;
+
+/// Maximum number of removals kept: several times what a fleet of 600 upstreams writes while a peer
+/// is disconnected for a second. Older removals are dropped, and a peer that lacks them requests the
+/// whole state again.
+const MAX_REMOVALS: usize = 4_096;
+
+/// Target size of a batch in bytes of keys and values, so that a burst blocks neither a slow link
+/// nor the thread: 64 KiB take 26 ms at 20 Mbit/s. The peer requests the rest next.
+const BATCH_TARGET_BYTES: usize = 64 << 10;
+
+/// One batch of changes for a peer.
+#[derive(Clone, PartialEq, Eq, Debug, Default)]
+pub struct UpdateBatch {
+    /// The changes in order of revision.
+    pub changes: Vec<StoreEvent>,
+    /// The revision up to which the peer is complete once it applied the batch.
+    pub revision: u64,
+    /// Whether more changes follow.
+    pub has_more: bool,
+}
+
+/// Current items of the store, and the removals since some revision.
+#[derive(Clone, Debug)]
+pub struct UpdateTable {
+    /// Keyed by revision and key, as one transaction writes several keys at one revision.
+    changes: BTreeMap<(u64, String), StoreEvent>,
+    latest: IndexMap<String, u64>,
+    /// The entries of `changes` that are removals.
+    removals: BTreeSet<(u64, String)>,
+    /// Removals up to this revision may have been dropped.
+    removal_floor: u64,
+    /// Every change up to this revision is recorded.
+    complete_revision: u64,
+}
+
+impl UpdateTable {
+    /// Creates a table from items that were read at `revision`.
+    pub fn from_items<Items>(items: Items, revision: u64) -> Self
+    where
+        Items: IntoIterator<Item = StoreItem>,
+    {
+        let mut table = Self {
+            changes: BTreeMap::new(),
+            latest: IndexMap::new(),
+            removals: BTreeSet::new(),
+            removal_floor: revision,
+            complete_revision: revision,
+        };
+        for item in items {
+            table.record(&StoreEvent::Written(item));
+        }
+        table
+    }
+
+    /// Records a change.
+    pub fn record(&mut self, change: &StoreEvent) {
+        let (key, revision) = (change.key().to_owned(), change.revision());
+        self.remove(&key);
+        self.latest.insert(key.clone(), revision);
+        if matches!(change, StoreEvent::Removed { .. }) {
+            self.removals.insert((revision, key.clone()));
+        }
+        self.changes.insert((revision, key), change.clone());
+        while self.removals.len() > MAX_REMOVALS {
+            let Some((oldest_revision, key)) = self.removals.first().cloned() else {
+                break;
+            };
+            self.remove(&key);
+            self.removal_floor = self.removal_floor.max(oldest_revision);
+        }
+    }
+
+    /// Drops the recorded change of a key, so that batches leave it out.
+    pub fn remove(&mut self, key: &str) {
+        let Some(revision) = self.latest.swap_remove(key) else {
+            return;
+        };
+        let change_key = (revision, key.to_owned());
+        self.changes.remove(&change_key);
+        self.removals.remove(&change_key);
+    }
+
+    /// Returns the revision up to which every change is recorded.
+    pub const fn complete_revision(&self) -> u64 {
+        self.complete_revision
+    }
+
+    /// Marks every change up to `revision` as recorded.
+    pub fn mark_complete(&mut self, revision: u64) {
+        self.complete_revision = self.complete_revision.max(revision);
+    }
+
+    /// Returns the changes that a peer lacks which knows everything up to `after` and holds no key
+    /// that was removed up to `unaffected_until`. Returns none if a later removal was dropped here.
+    pub fn changes_since(&self, after: u64, unaffected_until: u64) -> Option<UpdateBatch> {
+        if unaffected_until < self.removal_floor {
+            return None;
+        }
+        let mut batch = UpdateBatch {
+            revision: self.complete_revision,
+            ..UpdateBatch::default()
+        };
+        let mut batch_bytes = 0;
+        let mut last_revision = after;
+        for ((revision, key), change) in self.changes.range((after + 1, String::new())..) {
+            // A batch never splits the changes of one revision.
+            if batch_bytes >= BATCH_TARGET_BYTES && *revision != last_revision {
+                batch.revision = last_revision;
+                batch.has_more = true;
+                break;
+            }
+            batch_bytes += key.len() + change.value_len();
+            last_revision = *revision;
+            batch.changes.push(change.clone());
+        }
+        Some(batch)
+    }
+}
--- a/crates/gateway/src/front/exchange.rs
+++ b/crates/gateway/src/front/exchange.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use bergamot_news::PeerPlace;
+use bergamot_feed::PeerDescriptor;
 use bergamot_occupancy::{OccupancyAction, OccupancyEvent, RelayHop, TELL_PERIOD};
 use bergamot_peer::{
     CrashNotice, LeaderStill, LimitNotice, MAX_DATAGRAM_BYTES, PeerNotice, QuietNotice,
@@ -76,8 +76,8 @@
 }
 
 /// Where the entry VMs of a view are.
-fn places(view: &ClusterView) -> impl Iterator<Item = PeerPlace> {
-    view.entries.values().map(|entry| PeerPlace {
+fn places(view: &ClusterView) -> impl Iterator<Item = PeerDescriptor> {
+    view.entries.values().map(|entry| PeerDescriptor {
         vm: entry.vm.clone(),
         failure_domain: entry.failure_domain.clone(),
         millicores: entry.millicores,
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -55,8 +55,8 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
+use bergamot_feed::PeerDescriptor;
 use bergamot_groups::DemandMeter;
-use bergamot_news::PeerPlace;
 use bergamot_peer::LeaderStill;
 use bergamot_ports::RouteKind;
 use bergamot_quarantine::QuarantineRecord;
@@ -112,7 +112,7 @@
     ) -> Self {
         let budget = RepeatBudget::new(shared.bounds());
         let quota = QuotaState::new(shared.site.vm.to_string(), rand::random());
-        let place = PeerPlace {
+        let place = PeerDescriptor {
             vm: shared.site.vm.to_string(),
             failure_domain: shared.site.failure_domain.clone(),
             millicores: shared.site.millicores,
--- a/crates/gateway/src/sync/board.rs
+++ b/crates/gateway/src/sync/board.rs
@@ -1,6 +1,6 @@
 //! What this VM can tell its peers about the store.
 
-use bergamot_news::{Freshness, NewsTable};
+use bergamot_feed::{Freshness, UpdateTable};
 use bergamot_peer::{NewsAnswer, NewsQuestion, StoreNews};
 use bergamot_ports::StoreItem;
 use bergamot_types::prelude::*;
@@ -9,7 +9,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct NewsBoard {
     /// The changes; none before the store was read.
-    pub(crate) table: Option<NewsTable>,
+    pub(crate) table: Option<UpdateTable>,
     /// How recent what is known is.
     pub(crate) freshness: Freshness,
     /// The configuration as it stands in the store; none before the first.
@@ -31,7 +31,7 @@
         let Some(table) = &self.table else {
             return NewsAnswer::NotReady;
         };
-        let Some(slice) = table.since(question.after, question.unaffected_until) else {
+        let Some(slice) = table.changes_since(question.after, question.unaffected_until) else {
             return NewsAnswer::Forgotten;
         };
         let config = self.config.as_ref();
@@ -41,7 +41,7 @@
             changes: slice.changes,
             revision: slice.revision,
             has_more: slice.has_more,
-            reached: table.revision(),
+            reached: table.complete_revision(),
             is_relayed: self.is_relayed,
             age: self.freshness.age(now),
             config_revision: config.map_or(0, |config| config.revision),
--- a/crates/gateway/src/sync/mod.rs
+++ b/crates/gateway/src/sync/mod.rs
@@ -18,7 +18,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bergamot_news::{NewsSource, PeerRanking};
+use bergamot_feed::{PeerRanking, UpdateSource};
 use bergamot_ports::{
     KeyCondition, MAX_ENTRY_BYTES, StateStore, StoreCatalog, StoreError, StoreEvent, StoreTxn,
     TxnOutcome, WatchOutcome,
@@ -139,7 +139,7 @@
         let is_coordinator = self.is_coordinator();
         let now = self.shared.clock.now();
         let source = self.ranking.source(self.known.is_away, now);
-        if let NewsSource::Peers(peers) = source
+        if let UpdateSource::Peers(peers) = source
             && !is_coordinator
             && self.ask_peers(&peers).await
         {
@@ -212,7 +212,7 @@
                     self.note_change(event, now);
                 }
                 self.reach(revision);
-                self.board.borrow_mut().freshness.note_fresh(began);
+                self.board.borrow_mut().freshness.mark_current(began);
                 if has_changes {
                     self.publish();
                 }
@@ -246,9 +246,9 @@
         let is_config = change.key() == self.catalog.config_key();
         if let Some(table) = &mut self.board.borrow_mut().table {
             match change.value_len() <= most_told(is_config) {
-                true => table.note(&change),
-                false if is_config => table.forget(change.key()),
-                false => table.note(&change.clone().without_value()),
+                true => table.record(&change),
+                false if is_config => table.remove(change.key()),
+                false => table.record(&change.clone().without_value()),
             }
         }
         self.known.apply_event(&self.catalog, change, now);
@@ -260,9 +260,9 @@
         self.known.revision = Some(known);
         let mut board = self.board.borrow_mut();
         if let Some(table) = &mut board.table {
-            table.reach(known);
+            table.mark_complete(known);
         }
-        board.freshness.note_known(known);
+        board.freshness.observe_known(known);
     }
 
     /// Shows that the configuration that is known is still the newest, or takes over a newer one.
@@ -291,7 +291,7 @@
             TxnOutcome::Done(revision) => {
                 let known = self.known.revision.unwrap_or(0);
                 let mut board = self.board.borrow_mut();
-                board.freshness.note_store(revision, known, began);
+                board.freshness.observe_store(revision, known, began);
             }
             TxnOutcome::LeaseGone => {}
         }
@@ -315,7 +315,7 @@
         self.known.is_away = true;
         self.shared.set_store_away(true);
         let are_peers_away = self.shared.are_peers_away(self.shared.clock.now());
-        let pause = match self.ranking.is_first() {
+        let pause = match self.ranking.is_store_reader() {
             true => RETRY_PERIOD,
             false if are_peers_away => TOLD_RETRY,
             false => FOLLOWER_RETRY,
--- a/crates/gateway/src/sync/peers.rs
+++ b/crates/gateway/src/sync/peers.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use bergamot_news::PeerPlace;
+use bergamot_feed::PeerDescriptor;
 use bergamot_peer::{NewsAnswer, NewsQuestion, StoreNews};
 use bergamot_ports::{StateStore, StoreCatalog};
 use bergamot_types::prelude::*;
@@ -58,17 +58,17 @@
     /// Ranks the peers anew, by the entry VMs that are known.
     pub(super) fn rank_peers(&mut self) {
         let site = &self.shared.site;
-        let own = PeerPlace {
+        let own = PeerDescriptor {
             vm: site.vm.to_string(),
             failure_domain: site.failure_domain.clone(),
             millicores: site.millicores,
         };
-        let peers = self.known.entries.values().map(|entry| PeerPlace {
+        let peers = self.known.entries.values().map(|entry| PeerDescriptor {
             vm: entry.vm.clone(),
             failure_domain: entry.failure_domain.clone(),
             millicores: entry.millicores,
         });
-        self.ranking.rank(peers, &own);
+        self.ranking.rank_peers(peers, &own);
     }
 
     /// Asks these peers, one after another. False when none of them has fresh news. Where one knows
@@ -89,7 +89,7 @@
             if error.is_heard() {
                 self.shared.note_peer_away(now);
             }
-            self.ranking.note_failure(vm, self.known.is_away, now);
+            self.ranking.back_off(vm, self.known.is_away, now);
         }
         false
     }
@@ -190,7 +190,7 @@
         let is_whole = !news.has_more;
         self.reach(news.revision);
         if is_whole {
-            self.board.borrow_mut().freshness.note_fresh(fresh_at);
+            self.board.borrow_mut().freshness.mark_current(fresh_at);
         }
         if let Some(item) = &news.config {
             self.known.apply_item(&self.catalog, item);
--- a/crates/gateway/src/sync/read.rs
+++ b/crates/gateway/src/sync/read.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use bergamot_news::{NewsSource, NewsTable};
+use bergamot_feed::{UpdateSource, UpdateTable};
 use bergamot_peer::NewsQuestion;
 use bergamot_ports::{StateStore, StoreCatalog, StoreEvent, StoreItem, StoreRange};
 use bergamot_types::prelude::*;
@@ -42,7 +42,7 @@
         while Instant::now() < end {
             let now = self.shared.clock.now();
             let source = self.ranking.source(self.known.is_away, now);
-            let NewsSource::Peers(peers) = source else {
+            let UpdateSource::Peers(peers) = source else {
                 return false;
             };
             for vm in &peers {
@@ -63,7 +63,7 @@
             return;
         }
         let now = self.shared.clock.now();
-        self.ranking.note_failure(vm, self.known.is_away, now);
+        self.ranking.back_off(vm, self.known.is_away, now);
     }
 
     /// Reads which entry VMs there are. False when the store did not answer.
@@ -164,8 +164,8 @@
             (!is_config).then_some(item)
         });
         let mut board = self.board.borrow_mut();
-        board.table = Some(NewsTable::of(told, revision));
-        board.freshness.note_fresh(fresh_at);
+        board.table = Some(UpdateTable::from_items(told, revision));
+        board.freshness.mark_current(fresh_at);
         drop(board);
         let config = self.known.config.as_ref();
         log::info!(
--- a/crates/gateway/tests/standstill.rs
+++ b/crates/gateway/tests/standstill.rs
@@ -3,14 +3,14 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
+use bergamot_feed::PeerDescriptor;
 use bergamot_gateway::flight::FlightGuard;
-use bergamot_news::PeerPlace;
 use bergamot_routing::UpstreamBook;
 use bergamot_types::prelude::*;
 
 #[test]
 fn a_request_that_only_waits_says_nothing_about_its_group() {
-    let place = PeerPlace {
+    let place = PeerDescriptor {
         vm: "vm-1".to_owned(),
         failure_domain: FailureDomain::new("east"),
         millicores: 250,
--- a/crates/load/src/experiment/serving/run.rs
+++ b/crates/load/src/experiment/serving/run.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use bergamot_news::PeerPlace;
+use bergamot_feed::PeerDescriptor;
 use bergamot_occupancy::{OccupancyAction, OccupancyEvent, TELL_PERIOD};
 use bergamot_peer::LoadNotice;
 use bergamot_routing::{ReturnTimes, RouteUpstream, UpstreamAsk, UpstreamBook, UpstreamChoice};
@@ -85,7 +85,7 @@
 
 impl ServingRun {
     fn new(case: ServingCase) -> Self {
-        let place = |vm: usize| PeerPlace {
+        let place = |vm: usize| PeerDescriptor {
             vm: vm_name(vm),
             failure_domain: domain_of(vm),
             millicores: 250,
--- a/crates/occupancy/src/state.rs
+++ b/crates/occupancy/src/state.rs
@@ -1,6 +1,6 @@
 //! Who tells whom, and what is known of the others.
 
-use bergamot_news::PeerPlace;
+use bergamot_feed::PeerDescriptor;
 use bergamot_peer::{LoadNotice, LoadScope};
 use bergamot_types::prelude::*;
 use indexmap::IndexMap;
@@ -53,7 +53,7 @@
 /// What one entry VM knows of requests in flight from the others.
 #[derive(Debug)]
 pub struct OccupancyState {
-    own: PeerPlace,
+    own: PeerDescriptor,
     /// The VMs of each failure domain in the order in which they collect, this one among them.
     ranked: IndexMap<FailureDomain, Vec<String>>,
     /// In flight from here, as of the last period.
@@ -77,7 +77,7 @@
 
 impl OccupancyState {
     /// The state of an entry VM that knows of no other.
-    pub fn new(own: PeerPlace) -> Self {
+    pub fn new(own: PeerDescriptor) -> Self {
         Self {
             ranked: IndexMap::new(),
             in_flight: LeaderCounts::default(),
@@ -95,12 +95,12 @@
     /// Takes over which entry VMs there are. Those with the most processor collect.
     pub fn set_peers<Peers>(&mut self, peers: Peers)
     where
-        Peers: IntoIterator<Item = PeerPlace>,
+        Peers: IntoIterator<Item = PeerDescriptor>,
     {
         let others = peers.into_iter().filter(|it| it.vm != self.own.vm);
-        let mut places: Vec<PeerPlace> = others.collect();
+        let mut places: Vec<PeerDescriptor> = others.collect();
         places.push(self.own.clone());
-        places.sort_by_cached_key(|it| std::cmp::Reverse(it.order()));
+        places.sort_by_cached_key(|it| std::cmp::Reverse(it.rank_key()));
         self.ranked.clear();
         for place in places {
             let vms = self.ranked.entry(place.failure_domain).or_default();
--- a/crates/occupancy/tests/relay.rs
+++ b/crates/occupancy/tests/relay.rs
@@ -1,11 +1,11 @@
 //! The way of a notice to all entry VMs.
 
-use bergamot_news::PeerPlace;
+use bergamot_feed::PeerDescriptor;
 use bergamot_occupancy::OccupancyState;
 use bergamot_types::prelude::*;
 
-fn place(vm: usize, domains: usize) -> PeerPlace {
-    PeerPlace {
+fn place(vm: usize, domains: usize) -> PeerDescriptor {
+    PeerDescriptor {
         vm: format!("vm-{vm}"),
         failure_domain: FailureDomain::from(format!("domain-{}", vm % domains)),
         millicores: if vm < domains { 500 } else { 120 },
--- a/crates/occupancy/tests/told.rs
+++ b/crates/occupancy/tests/told.rs
@@ -1,6 +1,6 @@
 //! What entry VMs know of each other's requests when datagrams go through, get lost, or a collector is gone.
 
-use bergamot_news::PeerPlace;
+use bergamot_feed::PeerDescriptor;
 use bergamot_occupancy::{
     LeaderCounts, LeaderLoad, OccupancyEvent, OccupancyState, TELL_PERIOD, leader_key,
 };
@@ -9,8 +9,8 @@
 /// Periods after which each VM has heard of what every other one had in flight at the first.
 const SETTLED: u64 = 4;
 
-fn place(vm: usize, domains: usize) -> PeerPlace {
-    PeerPlace {
+fn place(vm: usize, domains: usize) -> PeerDescriptor {
+    PeerDescriptor {
         vm: format!("vm-{vm}"),
         failure_domain: FailureDomain::from(format!("domain-{}", vm % domains)),
         millicores: if vm < domains { 500 } else { 120 },
--- a/crates/routing/src/book.rs
+++ b/crates/routing/src/book.rs
@@ -1,6 +1,6 @@
 //! Load and trouble of all upstreams, as one entry VM knows them.
 
-use bergamot_news::PeerPlace;
+use bergamot_feed::PeerDescriptor;
 use bergamot_occupancy::{LeaderCounts, LeaderLoad, OccupancyState, leader_key};
 use bergamot_types::prelude::*;
 use indexmap::IndexMap;
@@ -34,7 +34,7 @@
 
 impl UpstreamBook {
     /// A book of the entry VM at `place` in which nothing was sent yet.
-    pub fn new(place: PeerPlace) -> Self {
+    pub fn new(place: PeerDescriptor) -> Self {
         Self {
             loads: IndexMap::new(),
             sharing: LeaderSharing::default(),
--- a/crates/routing/tests/book.rs
+++ b/crates/routing/tests/book.rs
@@ -1,6 +1,6 @@
 //! Which leader a request is sent to.
 
-use bergamot_news::PeerPlace;
+use bergamot_feed::PeerDescriptor;
 use bergamot_ports::EngineSpeed;
 use bergamot_routing::{RouteUpstream, SilenceVerdict, UpstreamAsk, UpstreamBook, UpstreamChoice};
 use bergamot_types::prelude::*;
@@ -30,7 +30,7 @@
 
 /// A book of the only entry VM.
 fn book() -> UpstreamBook {
-    let place = PeerPlace {
+    let place = PeerDescriptor {
         vm: "vm-1".to_owned(),
         failure_domain: FailureDomain::new("east"),
         millicores: 250,
--- a/crates/routing/tests/reach.rs
+++ b/crates/routing/tests/reach.rs
@@ -1,6 +1,6 @@
 //! Requests keep away from failure domains that are out of reach.
 
-use bergamot_news::PeerPlace;
+use bergamot_feed::PeerDescriptor;
 use bergamot_routing::{RouteUpstream, UpstreamAsk, UpstreamBook, UpstreamChoice};
 use bergamot_types::prelude::*;
 
@@ -26,7 +26,7 @@
 }
 
 fn book() -> UpstreamBook {
-    let place = PeerPlace {
+    let place = PeerDescriptor {
         vm: "vm-1".to_owned(),
         failure_domain: FailureDomain::new(HOME),
         millicores: 120,
