--- a/crates/gateway/src/front/exchange.rs
+++ b/crates/gateway/src/front/exchange.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use bergamot_feed::PeerDescriptor;
-use bergamot_occupancy::{OccupancyAction, OccupancyEvent, RelayHop, TELL_PERIOD};
+use bergamot_occupancy::{LOAD_REPORT_PERIOD, OccupancyAction, OccupancyEvent, RelayHop};
 use bergamot_peer::{
     CrashNotice, LeaderStill, LimitNotice, MAX_DATAGRAM_BYTES, PeerNotice, QuietNotice,
     SilentNotice, frame,
@@ -40,7 +40,7 @@
     mut still_news: mpsc::Receiver<LeaderStill>,
     mut quota_news: mpsc::Receiver<QuotaNews>,
 ) {
-    let mut periods = tokio::time::interval(TELL_PERIOD.as_duration());
+    let mut periods = tokio::time::interval(LOAD_REPORT_PERIOD.as_duration());
     periods.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut changes = front.shared.view_changed.subscribe();
     let mut buffer = [0_u8; MAX_DATAGRAM_BYTES];
@@ -53,7 +53,7 @@
             _ = periods.tick() => to_notices(tick(&front, &mut idle)),
             Some(record) = crash_news.recv() => tell_crash(&front, &record),
             Some(silence) = still_news.recv() => {
-                let hops = front.book.borrow().occupancy.relay_own(front.now());
+                let hops = front.book.borrow().occupancy.origin_hops(front.now());
                 address_silence(&front, hops, silence)
             }
             Some(news) = quota_news.recv() => tell_quota(&front, news),
@@ -93,7 +93,7 @@
         false => 0,
     };
     // A collector goes on for as long as others ask it.
-    if *idle > IDLE_PERIODS && !book.occupancy.is_asked() {
+    if *idle > IDLE_PERIODS && !book.occupancy.is_collector() {
         return Vec::new();
     }
     book.occupancy.handle(now, OccupancyEvent::Tick(in_flight))
@@ -146,7 +146,7 @@
     let notices = actions.into_iter();
     let notices = notices.map(|action| AddressedNotice {
         vm: action.vm,
-        notice: PeerNotice::Load(action.notice),
+        notice: PeerNotice::Load(action.report),
     });
     notices.collect()
 }
@@ -156,7 +156,7 @@
     front: &FrontContext<Dialect>,
     record: &QuarantineRecord,
 ) -> Vec<AddressedNotice> {
-    let hops = front.book.borrow().occupancy.relay_own(front.now());
+    let hops = front.book.borrow().occupancy.origin_hops(front.now());
     address(front, hops, record)
 }
 
@@ -170,7 +170,7 @@
     quarantine.handle(now, QuarantineEvent::Heard(&notice.record));
     drop(quarantine);
     let book = front.book.borrow();
-    let hops = book.occupancy.relay(&notice.vm, notice.scope);
+    let hops = book.occupancy.forward_hops(&notice.vm, notice.scope);
     address(front, hops, &notice.record)
 }
 
@@ -191,7 +191,7 @@
     if !book.note_told(told, front.now()) {
         return Vec::new();
     }
-    let hops = book.occupancy.relay(&notice.vm, notice.scope);
+    let hops = book.occupancy.forward_hops(&notice.vm, notice.scope);
     address_silence(front, hops, silence)
 }
 
@@ -199,7 +199,7 @@
 fn tell_quota<Dialect>(front: &FrontContext<Dialect>, news: QuotaNews) -> Vec<AddressedNotice> {
     match news {
         QuotaNews::Report(report) => {
-            let hops = front.book.borrow().occupancy.relay_own(front.now());
+            let hops = front.book.borrow().occupancy.origin_hops(front.now());
             address_limit(front, hops, &report)
         }
         QuotaNews::Question { vm, question } => {
@@ -219,7 +219,7 @@
     act(front, actions);
     let hops = {
         let book = front.book.borrow();
-        book.occupancy.relay(&notice.vm, notice.scope)
+        book.occupancy.forward_hops(&notice.vm, notice.scope)
     };
     address_limit(front, hops, &notice.report)
 }
--- a/crates/load/src/experiment/serving/run.rs
+++ b/crates/load/src/experiment/serving/run.rs
@@ -4,7 +4,7 @@
 use std::collections::BinaryHeap;
 
 use bergamot_feed::PeerDescriptor;
-use bergamot_occupancy::{OccupancyAction, OccupancyEvent, TELL_PERIOD};
+use bergamot_occupancy::{LOAD_REPORT_PERIOD, OccupancyAction, OccupancyEvent};
 use bergamot_peer::LoadNotice;
 use bergamot_routing::{ReturnTimes, RouteUpstream, UpstreamAsk, UpstreamBook, UpstreamChoice};
 use bergamot_types::prelude::*;
@@ -68,7 +68,10 @@
     }
     if case.is_told {
         for vm in 0..case.vms {
-            run.at(vm as u64 * TELL_PERIOD.0 / case.vms as u64, Event::Tick(vm));
+            run.at(
+                vm as u64 * LOAD_REPORT_PERIOD.0 / case.vms as u64,
+                Event::Tick(vm),
+            );
         }
     }
     run.play();
@@ -308,7 +311,7 @@
     }
 
     fn tick(&mut self, vm: usize) {
-        self.at(TELL_PERIOD.0, Event::Tick(vm));
+        self.at(LOAD_REPORT_PERIOD.0, Event::Tick(vm));
         let in_flight = self.books[vm].in_flight();
         let event = OccupancyEvent::Tick(in_flight);
         let actions = self.books[vm].occupancy.handle(Millis(self.now), event);
@@ -325,7 +328,7 @@
         for action in actions {
             let vm = (0..self.case.vms).find(|vm| vm_name(*vm) == action.vm);
             if let Some(vm) = vm {
-                self.at(WAY, Event::Notice(vm, action.notice));
+                self.at(WAY, Event::Notice(vm, action.report));
             }
         }
     }
--- a/crates/occupancy/src/lib.rs
+++ b/crates/occupancy/src/lib.rs
@@ -1,10 +1,11 @@
-//! How many requests all entry VMs together have in flight at each leader of a group.
+//! Tracks how many requests all entry VMs together have in flight at each group leader.
 //!
-//! Each VM tells one VM of its failure domain, the collector, what it has in flight, and is told what the
-//! others have. Collectors tell each other the sums of their failure domains. A VM sends and gets one
-//! datagram a period, whatever the size of the fleet; a collector one for each VM of its failure domain.
+//! Each VM reports its requests in flight to one VM of its failure domain, the collector, which replies
+//! with the sum over all other VMs. Collectors exchange the sums of their failure domains. Whatever the
+//! fleet size, a VM sends and receives one datagram per period, and a collector one per VM of its
+//! failure domain.
 //!
-//! Decisions only: no sockets and no clock.
+//! Pure state machines: this crate opens no sockets and reads no clock.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
@@ -14,4 +15,4 @@
 
 pub use counts::{LeaderCounts, LeaderLoad, leader_key};
 pub use relay::RelayHop;
-pub use state::{OccupancyAction, OccupancyEvent, OccupancyState, TELL_PERIOD};
+pub use state::{LOAD_REPORT_PERIOD, OccupancyAction, OccupancyEvent, OccupancyState};
--- a/crates/occupancy/src/state.rs
+++ b/crates/occupancy/src/state.rs
@@ -1,4 +1,4 @@
-//! Who tells whom, and what is known of the others.
+//! State of one entry VM: the collector it reports to, and the load that other VMs reported.
 
 use bergamot_feed::PeerDescriptor;
 use bergamot_peer::{LoadNotice, LoadScope};
@@ -7,275 +7,300 @@
 
 use crate::counts::{LeaderCounts, LeaderLoad};
 
-/// Time between two notices. A leader of a busy model gets 10 to 15 requests a second, so that one or two
-/// come between what happens and what is known of it.
-pub const TELL_PERIOD: Millis = Millis(50);
-/// Time for which what a VM or a collector told counts: a few lost datagrams.
-const TOLD_TIME: Millis = Millis(300);
-/// Time without an answer after which a collector is given up.
-const ANSWER_TIME: Millis = Millis(200);
-/// Time for which it is left alone then.
-const AVOIDANCE: Millis = Millis(1_500);
+/// Time between two load reports. A leader of a busy model gets 10 to 15 requests a second, so it gets
+/// one or two before other VMs know of a request.
+pub const LOAD_REPORT_PERIOD: Millis = Millis(50);
+/// How long reported counts are valid. Covers the loss of a few datagrams.
+const REPORT_VALIDITY: Millis = Millis(300);
+/// How long a collector may leave a report unanswered before another VM is used.
+const COLLECTOR_TIMEOUT: Millis = Millis(200);
+/// How long a collector that timed out is not used.
+const COLLECTOR_BACKOFF: Millis = Millis(1_500);
 
-/// Something that happened.
+/// An input of [`OccupancyState`].
 #[derive(Clone, Debug)]
 pub enum OccupancyEvent<'a> {
-    /// A period is over; what is in flight from here now.
+    /// A report period has passed. Carries the requests in flight from this VM now.
     Tick(LeaderCounts),
-    /// A notice came from a peer.
+    /// A load report arrived from a peer.
     Received(&'a LoadNotice),
 }
 
-/// A notice to be sent.
+/// A load report to send.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct OccupancyAction {
-    /// The entry VM that it is for.
+    /// The entry VM that receives the report.
     pub vm: String,
-    /// What it is told.
-    pub notice: LoadNotice,
+    /// The report.
+    pub report: LoadNotice,
 }
 
-/// Counts, and when they were told.
+/// Counts that a VM reported.
 #[derive(Clone, Debug)]
-struct ToldCounts {
-    /// Who told them.
+struct ReportedCounts {
+    /// The VM that sent the report.
     vm: String,
     counts: LeaderCounts,
-    at: Millis,
+    received_at: Millis,
 }
 
-impl ToldCounts {
+impl ReportedCounts {
     fn is_fresh(&self, now: Millis) -> bool {
-        now.since(self.at) < TOLD_TIME
+        now.since(self.received_at) < REPORT_VALIDITY
     }
 }
 
-/// What one entry VM knows of requests in flight from the others.
+/// What one entry VM knows about the requests that the others have in flight.
 #[derive(Debug)]
 pub struct OccupancyState {
     own: PeerDescriptor,
-    /// The VMs of each failure domain in the order in which they collect, this one among them.
-    ranked: IndexMap<FailureDomain, Vec<String>>,
-    /// In flight from here, as of the last period.
+    /// The VMs of each failure domain, this one included, in the order in which they become
+    /// collector.
+    collector_ranking: IndexMap<FailureDomain, Vec<String>>,
+    /// Requests in flight from this VM as of the last period.
     in_flight: LeaderCounts,
-    /// What VMs told this one as their collector, by VM.
-    members: IndexMap<String, ToldCounts>,
+    /// Counts that VMs reported to this one as their collector, by VM.
+    member_reports: IndexMap<String, ReportedCounts>,
     /// Sums of the other failure domains.
-    domains: IndexMap<FailureDomain, ToldCounts>,
-    /// What the collector told of all others.
-    others: Option<ToldCounts>,
-    /// Where this VM collects: what it and all that told it have in flight. Kept, as working it out for each answer
-    /// would cost the square of the VMs.
-    whole: LeaderCounts,
-    /// When that was last worked out anew.
-    whole_at: Millis,
-    /// Since when the collector owes an answer.
-    asked_at: Option<Millis>,
-    /// VMs that did not answer, and until when they are left alone.
-    avoided: IndexMap<String, Millis>,
+    domain_reports: IndexMap<FailureDomain, ReportedCounts>,
+    /// The sum over all other VMs, as the collector reported it.
+    others_report: Option<ReportedCounts>,
+    /// On a collector: the sum of its own requests in flight and all reported ones. Cached, as summing
+    /// anew for each reply would be quadratic in the number of VMs.
+    fleet_total: LeaderCounts,
+    /// When `fleet_total` was last summed anew.
+    fleet_total_at: Millis,
+    /// When the oldest report was sent that the collector has not answered.
+    unanswered_since: Option<Millis>,
+    /// VMs that did not answer, with the end of their backoff.
+    backoff_until: IndexMap<String, Millis>,
 }
 
 impl OccupancyState {
-    /// The state of an entry VM that knows of no other.
+    /// Creates the state of an entry VM that knows no other VM.
     pub fn new(own: PeerDescriptor) -> Self {
         Self {
-            ranked: IndexMap::new(),
+            collector_ranking: IndexMap::new(),
             in_flight: LeaderCounts::default(),
-            members: IndexMap::new(),
-            domains: IndexMap::new(),
-            others: None,
-            whole: LeaderCounts::default(),
-            whole_at: Millis::ZERO,
-            asked_at: None,
-            avoided: IndexMap::new(),
+            member_reports: IndexMap::new(),
+            domain_reports: IndexMap::new(),
+            others_report: None,
+            fleet_total: LeaderCounts::default(),
+            fleet_total_at: Millis::ZERO,
+            unanswered_since: None,
+            backoff_until: IndexMap::new(),
             own,
         }
     }
 
-    /// Takes over which entry VMs there are. Those with the most processor collect.
+    /// Replaces the set of known entry VMs. The VM with the most CPU in each failure domain becomes its
+    /// collector.
     pub fn set_peers<Peers>(&mut self, peers: Peers)
     where
         Peers: IntoIterator<Item = PeerDescriptor>,
     {
-        let others = peers.into_iter().filter(|it| it.vm != self.own.vm);
-        let mut places: Vec<PeerDescriptor> = others.collect();
-        places.push(self.own.clone());
-        places.sort_by_cached_key(|it| std::cmp::Reverse(it.rank_key()));
-        self.ranked.clear();
-        for place in places {
-            let vms = self.ranked.entry(place.failure_domain).or_default();
-            vms.push(place.vm);
+        let other_peers = peers.into_iter().filter(|peer| peer.vm != self.own.vm);
+        let mut ranked_peers: Vec<PeerDescriptor> = other_peers.collect();
+        ranked_peers.push(self.own.clone());
+        ranked_peers.sort_by_cached_key(|peer| std::cmp::Reverse(peer.rank_key()));
+        self.collector_ranking.clear();
+        for peer in ranked_peers {
+            let vms = self
+                .collector_ranking
+                .entry(peer.failure_domain)
+                .or_default();
+            vms.push(peer.vm);
         }
     }
 
-    /// Takes in what happened and says what to send.
+    /// Handles an event and returns the reports to send.
     pub fn handle(&mut self, now: Millis, event: OccupancyEvent<'_>) -> Vec<OccupancyAction> {
         match event {
             OccupancyEvent::Tick(in_flight) => {
                 self.in_flight = in_flight;
                 self.tick(now)
             }
-            OccupancyEvent::Received(notice) => self.receive(now, notice),
+            OccupancyEvent::Received(report) => self.receive(now, report),
         }
     }
 
-    /// Whether other VMs have this one collect for them.
-    pub fn is_asked(&self) -> bool {
-        !self.members.is_empty()
+    /// Whether other VMs use this one as their collector.
+    pub fn is_collector(&self) -> bool {
+        !self.member_reports.is_empty()
     }
 
-    /// Whether it is known what the other VMs have in flight.
-    pub fn is_known(&self, now: Millis) -> bool {
-        let is_told = self.others.as_ref().is_some_and(|told| told.is_fresh(now));
-        is_told || self.collector(now).is_none()
+    /// Whether the load of the other VMs is known.
+    pub fn is_remote_load_known(&self, now: Millis) -> bool {
+        let has_fresh_report = self
+            .others_report
+            .as_ref()
+            .is_some_and(|reported| reported.is_fresh(now));
+        has_fresh_report || self.collector(now).is_none()
     }
 
-    /// What the other VMs have in flight at a leader, as far as known.
-    pub fn others_at(&self, leader: u32, now: Millis) -> LeaderLoad {
-        if let Some(told) = self.others.as_ref().filter(|told| told.is_fresh(now)) {
-            return told.counts.get(leader);
+    /// Returns the load that the other VMs have in flight at a leader, as far as known.
+    pub fn remote_load_at(&self, leader: u32, now: Millis) -> LeaderLoad {
+        if let Some(reported) = self
+            .others_report
+            .as_ref()
+            .filter(|reported| reported.is_fresh(now))
+        {
+            return reported.counts.get(leader);
         }
-        match now.since(self.whole_at) < TOLD_TIME {
-            true => self.whole.get(leader).minus(self.in_flight.get(leader)),
+        match now.since(self.fleet_total_at) < REPORT_VALIDITY {
+            true => self
+                .fleet_total
+                .get(leader)
+                .saturating_sub(self.in_flight.get(leader)),
             false => LeaderLoad::default(),
         }
     }
 
-    /// The VM that collects for this one; none where it collects itself.
+    /// Returns the collector of this VM, or none if this VM is a collector itself.
     pub(crate) fn collector(&self, now: Millis) -> Option<&str> {
-        let vms = self.ranked.get(&self.own.failure_domain)?;
-        let is_avoided = |vm: &str| self.avoided.get(vm).is_some_and(|until| *until > now);
-        let first = vms.iter().find(|vm| !is_avoided(vm))?;
-        (*first != self.own.vm).then_some(first.as_str())
+        let vms = self.collector_ranking.get(&self.own.failure_domain)?;
+        let is_backing_off =
+            |vm: &str| self.backoff_until.get(vm).is_some_and(|until| *until > now);
+        let collector = vms.iter().find(|vm| !is_backing_off(vm))?;
+        (*collector != self.own.vm).then_some(collector.as_str())
     }
 
     fn tick(&mut self, now: Millis) -> Vec<OccupancyAction> {
-        self.give_up_silent(now);
-        self.add_up(now);
+        self.give_up_unresponsive_collector(now);
+        self.sum_reports(now);
         let Some(collector) = self.collector(now).map(str::to_owned) else {
-            self.others = None;
-            return self.tell_domains();
+            self.others_report = None;
+            return self.report_domain_sum();
         };
-        self.asked_at.get_or_insert(now);
-        let notice = self.notice(LoadScope::Vm, &self.in_flight);
+        self.unanswered_since.get_or_insert(now);
+        let report = self.load_report(LoadScope::Vm, &self.in_flight);
         let action = OccupancyAction {
             vm: collector,
-            notice,
+            report,
         };
         vec![action]
     }
 
-    /// Leaves a collector alone that owes an answer for too long.
-    fn give_up_silent(&mut self, now: Millis) {
-        let is_overdue = |at: Millis| now.since(at) >= ANSWER_TIME;
-        if !self.asked_at.is_some_and(is_overdue) {
+    /// Backs off from a collector that has not answered in time.
+    fn give_up_unresponsive_collector(&mut self, now: Millis) {
+        let is_overdue =
+            |unanswered_since: Millis| now.since(unanswered_since) >= COLLECTOR_TIMEOUT;
+        if !self.unanswered_since.is_some_and(is_overdue) {
             return;
         }
-        self.asked_at = None;
-        self.avoided.retain(|_, until| *until > now);
-        if let Some(silent) = self.collector(now).map(str::to_owned) {
-            self.avoided.insert(silent, now + AVOIDANCE);
+        self.unanswered_since = None;
+        self.backoff_until.retain(|_, until| *until > now);
+        if let Some(unresponsive) = self.collector(now).map(str::to_owned) {
+            self.backoff_until
+                .insert(unresponsive, now + COLLECTOR_BACKOFF);
         }
     }
 
-    /// Works out what all have in flight.
-    fn add_up(&mut self, now: Millis) {
-        self.members.retain(|_, told| told.is_fresh(now));
-        self.domains.retain(|_, told| told.is_fresh(now));
-        self.whole = self.in_flight.clone();
-        for told in self.members.values().chain(self.domains.values()) {
-            self.whole.add_all(&told.counts);
+    /// Drops expired reports and sums what all VMs have in flight.
+    fn sum_reports(&mut self, now: Millis) {
+        self.member_reports
+            .retain(|_, reported| reported.is_fresh(now));
+        self.domain_reports
+            .retain(|_, reported| reported.is_fresh(now));
+        self.fleet_total = self.in_flight.clone();
+        for reported in self
+            .member_reports
+            .values()
+            .chain(self.domain_reports.values())
+        {
+            self.fleet_total.add_all(&reported.counts);
         }
-        self.whole_at = now;
+        self.fleet_total_at = now;
     }
 
-    /// Tells the collectors of the other failure domains the sum of this one.
-    fn tell_domains(&self) -> Vec<OccupancyAction> {
-        let mut sum = self.whole.clone();
-        for told in self.domains.values() {
-            sum.remove_all(&told.counts);
+    /// Reports the sum of this failure domain to the collectors of the others.
+    fn report_domain_sum(&self) -> Vec<OccupancyAction> {
+        let mut sum = self.fleet_total.clone();
+        for reported in self.domain_reports.values() {
+            sum.subtract_all(&reported.counts);
         }
         self.other_collectors()
             .map(|vm| OccupancyAction {
                 vm: vm.clone(),
-                notice: self.notice(LoadScope::FailureDomain, &sum),
+                report: self.load_report(LoadScope::FailureDomain, &sum),
             })
             .collect()
     }
 
-    /// The collectors of the other failure domains, as far as known.
+    /// Returns the collectors of the other failure domains, as far as known.
     pub(crate) fn other_collectors(&self) -> impl Iterator<Item = &String> {
-        let others = self.ranked.iter();
-        let others = others.filter(|(domain, _)| **domain != self.own.failure_domain);
-        others.filter_map(|(domain, vms)| {
-            let told = self.domains.get(domain);
-            told.map(|told| &told.vm).or(vms.first())
+        let other_domains = self.collector_ranking.iter();
+        let other_domains = other_domains.filter(|(domain, _)| **domain != self.own.failure_domain);
+        other_domains.filter_map(|(domain, vms)| {
+            let reported = self.domain_reports.get(domain);
+            reported.map(|reported| &reported.vm).or(vms.first())
         })
     }
 
-    /// The VMs of this failure domain.
-    pub(crate) fn near(&self) -> &[String] {
-        let vms = self.ranked.get(&self.own.failure_domain);
+    /// Returns the VMs of this failure domain.
+    pub(crate) fn domain_vms(&self) -> &[String] {
+        let vms = self.collector_ranking.get(&self.own.failure_domain);
         vms.map_or(&[], Vec::as_slice)
     }
 
-    /// This VM's name.
+    /// Returns the name of this VM.
     pub(crate) fn own_vm(&self) -> &str {
         &self.own.vm
     }
 
-    fn receive(&mut self, now: Millis, notice: &LoadNotice) -> Vec<OccupancyAction> {
-        let told = ToldCounts {
-            vm: notice.vm.clone(),
-            counts: LeaderCounts::from(notice.counts.as_slice()),
-            at: now,
+    fn receive(&mut self, now: Millis, report: &LoadNotice) -> Vec<OccupancyAction> {
+        let reported = ReportedCounts {
+            vm: report.vm.clone(),
+            counts: LeaderCounts::from(report.counts.as_slice()),
+            received_at: now,
         };
-        match notice.scope {
-            LoadScope::Vm => vec![self.take_member(now, told)],
+        match report.scope {
+            LoadScope::Vm => vec![self.record_member(now, reported)],
             LoadScope::FailureDomain => {
-                self.take_domain(&notice.failure_domain, told);
+                self.record_domain(&report.failure_domain, reported);
                 Vec::new()
             }
             LoadScope::Others => {
-                self.asked_at = None;
-                self.others = Some(told);
+                self.unanswered_since = None;
+                self.others_report = Some(reported);
                 Vec::new()
             }
         }
     }
 
-    /// Takes over what a VM tells this one as its collector, and tells it what all but itself have in flight.
-    fn take_member(&mut self, now: Millis, told: ToldCounts) -> OccupancyAction {
-        let vm = told.vm.clone();
-        if now.since(self.whole_at) >= TOLD_TIME {
-            self.add_up(now);
+    /// Records the report of a VM that uses this one as its collector, and replies with the sum over all
+    /// other VMs.
+    fn record_member(&mut self, now: Millis, reported: ReportedCounts) -> OccupancyAction {
+        let vm = reported.vm.clone();
+        if now.since(self.fleet_total_at) >= REPORT_VALIDITY {
+            self.sum_reports(now);
         }
-        let mut others = self.whole.clone();
-        if let Some(before) = self.members.get(&vm) {
-            others.remove_all(&before.counts);
+        let mut other_counts = self.fleet_total.clone();
+        if let Some(previous) = self.member_reports.get(&vm) {
+            other_counts.subtract_all(&previous.counts);
         }
-        self.whole = others.clone();
-        self.whole.add_all(&told.counts);
-        self.members.insert(vm.clone(), told);
+        self.fleet_total = other_counts.clone();
+        self.fleet_total.add_all(&reported.counts);
+        self.member_reports.insert(vm.clone(), reported);
         OccupancyAction {
             vm,
-            notice: self.notice(LoadScope::Others, &others),
+            report: self.load_report(LoadScope::Others, &other_counts),
         }
     }
 
-    /// Takes over the sum of another failure domain.
-    fn take_domain(&mut self, domain: &FailureDomain, told: ToldCounts) {
+    /// Records the sum of another failure domain.
+    fn record_domain(&mut self, domain: &FailureDomain, reported: ReportedCounts) {
         if *domain == self.own.failure_domain {
             return;
         }
-        if let Some(before) = self.domains.get(domain) {
-            self.whole.remove_all(&before.counts);
+        if let Some(previous) = self.domain_reports.get(domain) {
+            self.fleet_total.subtract_all(&previous.counts);
         }
-        self.whole.add_all(&told.counts);
-        self.domains.insert(domain.clone(), told);
+        self.fleet_total.add_all(&reported.counts);
+        self.domain_reports.insert(domain.clone(), reported);
     }
 
-    fn notice(&self, scope: LoadScope, counts: &LeaderCounts) -> LoadNotice {
+    fn load_report(&self, scope: LoadScope, counts: &LeaderCounts) -> LoadNotice {
         LoadNotice {
             vm: self.own.vm.clone(),
             failure_domain: self.own.failure_domain.clone(),
--- a/crates/occupancy/tests/relay.rs
+++ b/crates/occupancy/tests/relay.rs
@@ -1,10 +1,10 @@
-//! The way of a notice to all entry VMs.
+//! Tests of relaying a notice to all entry VMs.
 
 use bergamot_feed::PeerDescriptor;
 use bergamot_occupancy::OccupancyState;
 use bergamot_types::prelude::*;
 
-fn place(vm: usize, domains: usize) -> PeerDescriptor {
+fn descriptor(vm: usize, domains: usize) -> PeerDescriptor {
     PeerDescriptor {
         vm: format!("vm-{vm}"),
         failure_domain: FailureDomain::from(format!("domain-{}", vm % domains)),
@@ -16,7 +16,7 @@
     name: &'static str,
     vms: usize,
     domains: usize,
-    from: usize,
+    origin: usize,
 }
 
 #[test]
@@ -26,53 +26,60 @@
             name: "from a VM",
             vms: 9,
             domains: 3,
-            from: 7,
+            origin: 7,
         },
         RelayCase {
             name: "from a collector",
             vms: 9,
             domains: 3,
-            from: 1,
+            origin: 1,
         },
         RelayCase {
             name: "one failure domain",
             vms: 4,
             domains: 1,
-            from: 3,
+            origin: 3,
         },
         RelayCase {
-            name: "a VM alone",
+            name: "a single VM",
             vms: 1,
             domains: 1,
-            from: 0,
+            origin: 0,
         },
         RelayCase {
             name: "a large fleet",
             vms: 195,
             domains: 5,
-            from: 120,
+            origin: 120,
         },
     ];
     for case in cases {
         let states = (0..case.vms).map(|vm| {
-            let mut state = OccupancyState::new(place(vm, case.domains));
-            state.set_peers((0..case.vms).map(|vm| place(vm, case.domains)));
+            let mut state = OccupancyState::new(descriptor(vm, case.domains));
+            state.set_peers((0..case.vms).map(|vm| descriptor(vm, case.domains)));
             state
         });
         let states: Vec<OccupancyState> = states.collect();
-        let name = |vm: usize| format!("vm-{vm}");
-        let mut heard = vec![0; case.vms];
-        let first = states[case.from].relay_own(Millis(1_000));
-        let mut sent: Vec<_> = first.into_iter().map(|hop| (case.from, hop)).collect();
-        while let Some((sender, hop)) = sent.pop() {
-            let to: usize = hop.vm.trim_start_matches("vm-").parse().expect("a number");
-            heard[to] += 1;
-            let next = states[to].relay(&name(sender), hop.scope);
-            sent.extend(next.into_iter().map(|hop| (to, hop)));
+        let vm_name = |vm: usize| format!("vm-{vm}");
+        let mut receive_counts = vec![0; case.vms];
+        let origin_hops = states[case.origin].origin_hops(Millis(1_000));
+        let mut pending_hops: Vec<_> = origin_hops
+            .into_iter()
+            .map(|hop| (case.origin, hop))
+            .collect();
+        while let Some((sender, hop)) = pending_hops.pop() {
+            let receiver: usize = hop
+                .vm
+                .trim_start_matches("vm-")
+                .parse()
+                .expect("the VM name ends in a number");
+            receive_counts[receiver] += 1;
+            let next_hops = states[receiver].forward_hops(&vm_name(sender), hop.scope);
+            pending_hops.extend(next_hops.into_iter().map(|hop| (receiver, hop)));
         }
-        for (vm, times) in heard.iter().enumerate() {
-            let expected = usize::from(vm != case.from);
-            assert_eq!(*times, expected, "{}: vm {vm}", case.name);
+        for (vm, receive_count) in receive_counts.iter().enumerate() {
+            let expected = usize::from(vm != case.origin);
+            assert_eq!(*receive_count, expected, "{}: vm {vm}", case.name);
         }
     }
 }
--- a/crates/routing/src/book.rs
+++ b/crates/routing/src/book.rs
@@ -73,8 +73,8 @@
 
     /// What all entry VMs have in flight at a leader, as far as known.
     pub(crate) fn total_at(&self, incarnation: &UpstreamIncarnation, now: Millis) -> LeaderLoad {
-        let others = self.occupancy.others_at(leader_key(incarnation), now);
-        others.plus(self.load(incarnation).own())
+        let others = self.occupancy.remote_load_at(leader_key(incarnation), now);
+        others.saturating_add(self.load(incarnation).own())
     }
 
     /// The limit before an upstream has shown what it bears: somewhat more than an equal part of
@@ -124,7 +124,7 @@
             waited: now.since(run.at),
             run,
             has_begun: load.has_begun(),
-            has_queue: !self.occupancy.is_known(now) || total.requests > upstream.slots,
+            has_queue: !self.occupancy.is_remote_load_known(now) || total.requests > upstream.slots,
             is_stalled: self.told.has(now, leader_key(&upstream.incarnation)),
         };
         self.paces.judge(model, silence)
@@ -271,7 +271,7 @@
 
     /// What the limits of these upstreams are, and what is in flight, for the log.
     pub fn describe(&self, pool: &[RouteUpstream], now: Millis) -> String {
-        let is_known = self.occupancy.is_known(now);
+        let is_known = self.occupancy.is_remote_load_known(now);
         let loads = pool.iter().map(|upstream| {
             let load = self.load(&upstream.incarnation);
             if !is_known {
@@ -280,7 +280,10 @@
             }
             let total = self.total_at(&upstream.incarnation, now);
             let limit = load.common_limit(upstream.slots);
-            format!("{}/{limit:.1}:{}", total.requests, total.unread)
+            format!(
+                "{}/{limit:.1}:{}",
+                total.requests, total.pending_prompt_tokens
+            )
         });
         loads.collect::<Vec<_>>().join(",")
     }
--- a/crates/routing/src/choose.rs
+++ b/crates/routing/src/choose.rs
@@ -90,7 +90,8 @@
             .common_limit(upstream.slots);
         let in_time = ask.objective.0 as f64 * IN_TIME_PART;
         let first = upstream.first_event_ms(total, ask.prompt);
-        let is_early = total.unread == 0 || first.is_none_or(|first| first <= in_time);
+        let is_early =
+            total.pending_prompt_tokens == 0 || first.is_none_or(|first| first <= in_time);
         f64::from(total.requests) + 1.0 <= limit && is_early
     }
 
@@ -121,7 +122,7 @@
             return usable;
         }
         let are_leaders = usable.iter().all(|it| it.group.is_some());
-        if !are_leaders || !self.occupancy.is_known(now) {
+        if !are_leaders || !self.occupancy.is_remote_load_known(now) {
             usable.retain(|upstream| self.has_room(upstream));
             return usable;
         }
@@ -162,11 +163,11 @@
 
     /// How much a leader has to do, in requests.
     fn work_at(&self, upstream: &RouteUpstream, now: Millis) -> f64 {
-        if upstream.group.is_none() || !self.occupancy.is_known(now) {
+        if upstream.group.is_none() || !self.occupancy.is_remote_load_known(now) {
             return f64::from(self.load(&upstream.incarnation).in_flight);
         }
         let total = self.total_at(&upstream.incarnation, now);
-        f64::from(total.requests) + f64::from(total.unread) / TOKENS_PER_REQUEST
+        f64::from(total.requests) + f64::from(total.pending_prompt_tokens) / TOKENS_PER_REQUEST
     }
 
     /// The least loaded upstream that was not tried and has room. Avoided ones are used when there
--- a/crates/routing/src/load.rs
+++ b/crates/routing/src/load.rs
@@ -78,7 +78,7 @@
     pub fn own(&self) -> LeaderLoad {
         LeaderLoad {
             requests: self.in_flight,
-            unread: self.unread,
+            pending_prompt_tokens: self.unread,
         }
     }
 
--- a/crates/routing/src/upstream.rs
+++ b/crates/routing/src/upstream.rs
@@ -33,7 +33,7 @@
     pub(crate) fn first_event_ms(&self, load: LeaderLoad, prompt: u32) -> Option<f64> {
         let speed = self.speed?;
         let running = load.requests.min(self.slots);
-        let reading = f64::from(load.unread + prompt) / speed.tokens_per_ms;
+        let reading = f64::from(load.pending_prompt_tokens + prompt) / speed.tokens_per_ms;
         Some(speed.pass_ms(f64::from(running)) * FIRST_PASSES + reading)
     }
 }
