--- a/crates/claims/src/state/grants.rs
+++ b/crates/claims/src/state/grants.rs
@@ -54,7 +54,7 @@
         let mut untried: Vec<EntryId> = co_holders(&self.map, &self.me, key.slot())
             .into_iter()
             .collect();
-        if untried.is_empty() || is_on(Mutation::GrantWithoutCopy) {
+        if untried.is_empty() || is_on(Mutation::GrantWithoutReplica) {
             // A lone entry VM has nobody to copy to, and nobody to be replaced by either.
             return verdict(Verdict::Granted);
         }
--- a/crates/entry/src/control/route.rs
+++ b/crates/entry/src/control/route.rs
@@ -56,7 +56,7 @@
     fn is_routable(&self, record: &DomainRecord, id: &GroupId, group: &GroupRecord) -> bool {
         let is_staying = |vm: &VmId| {
             let fact = self.vms.get(vm);
-            fact.is_none_or(|fact| fact.state == VmState::Live) || is_on(Mutation::KeepLeaving)
+            fact.is_none_or(|fact| fact.state == VmState::Live) || is_on(Mutation::KeepLeavingGroup)
         };
         group.phase == GroupPhase::Serving
             && record.is_full(id)
--- a/crates/entry/src/front/answer.rs
+++ b/crates/entry/src/front/answer.rs
@@ -37,7 +37,7 @@
 
 /// The body of a refusal, in the shape that clients of such APIs expect.
 pub fn error_json(kind: ErrorKind, request_id: &RequestId) -> serde_json::Value {
-    let row = kind.answer();
+    let row = kind.response();
     let class = match row.status {
         401 | 403 => "authentication_error",
         429 => "rate_limit_error",
@@ -58,7 +58,7 @@
 
 /// The answer to a refused request.
 pub fn refuse(refusal: Refusal, request_id: &RequestId) -> CallerAnswer {
-    let row = refusal.kind.answer();
+    let row = refusal.kind.response();
     let status = StatusCode::from_u16(row.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let body = error_json(refusal.kind, request_id).to_string();
     let mut answer = whole(status, "application/json", Bytes::from(body));
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -177,7 +177,7 @@
 
     /// The error to answer with: what is refused as not run must not have run.
     pub fn truthful(&self, kind: ErrorKind) -> ErrorKind {
-        let is_claim = kind.answer().ran == RanState::No;
+        let is_claim = kind.response().ran == RanState::No;
         match (is_claim && self.maybe_ran, kind) {
             (false, kind) => kind,
             (true, ErrorKind::DeadlineBeforeSend) => ErrorKind::DeadlineAfterSend,
--- a/crates/entry/src/front/claimed.rs
+++ b/crates/entry/src/front/claimed.rs
@@ -51,7 +51,7 @@
 
     /// Notes a failure: truly not run, or unknown.
     pub fn failed(self, kind: ErrorKind) {
-        self.end(match kind.answer().ran {
+        self.end(match kind.response().ran {
             RanState::No => FinishOutcome::NotRun,
             RanState::Yes | RanState::Unknown => FinishOutcome::Unknown,
         });
--- a/crates/entry/src/front/model.rs
+++ b/crates/entry/src/front/model.rs
@@ -340,7 +340,7 @@
         }
         DriveOutcome::CallerLeft => count(front, "caller_left"),
         DriveOutcome::Failed(kind) => {
-            let is_true = kind.answer().ran != RanState::No || !call.maybe_ran();
+            let is_true = kind.response().ran != RanState::No || !call.maybe_ran();
             Invariant::NotRunIsTrue.check(is_true, || format!("request={} {kind}", call.spec.id));
             count(front, kind.code());
             if let Some(granted) = claimed {
--- a/crates/entry/src/front/service.rs
+++ b/crates/entry/src/front/service.rs
@@ -146,7 +146,7 @@
         }
         Err(kind) => {
             let kind = call.truthful(kind);
-            let is_true = kind.answer().ran != RanState::No || !call.maybe_ran();
+            let is_true = kind.response().ran != RanState::No || !call.maybe_ran();
             Invariant::NotRunIsTrue.check(is_true, || format!("request={} {kind}", call.spec.id));
             count(front, kind.code());
             Err(kind.into())
--- a/crates/gateway/src/front/refusal.rs
+++ b/crates/gateway/src/front/refusal.rs
@@ -47,7 +47,7 @@
 impl CallRefusal {
     /// The refusal that is true given what was sent.
     pub fn truthful(self, state: &CallState) -> Self {
-        let says_not_run = self.kind.answer().ran == RanState::No;
+        let says_not_run = self.kind.response().ran == RanState::No;
         match (state.may_have_run(), says_not_run, self.kind) {
             (true, true, ErrorKind::DeadlineBeforeSend) => ErrorKind::DeadlineAfterSend.into(),
             (true, true, _) => ErrorKind::UpstreamLost.into(),
@@ -87,10 +87,10 @@
     log::info!(
         "event=refused request={id} kind={} status={} route={} sends={} ran={} waited={} config_age={} retry_after={}",
         refusal.kind,
-        refusal.kind.answer().status,
+        refusal.kind.response().status,
         state.map_or("-", |state| state.route.name.as_str()),
         state.map_or(0, CallState::sends),
-        refusal.kind.answer().ran,
+        refusal.kind.response().ran,
         state.map_or(Millis::ZERO, |state| now.since(state.arrived)),
         front.shared.config_age(now),
         refusal.retry_after.unwrap_or_default(),
--- a/crates/local/tests/support/mod.rs
+++ b/crates/local/tests/support/mod.rs
@@ -12,7 +12,7 @@
 
 /// A fleet whose groups serve.
 pub fn fleet(options: &LocalOptions) -> LocalFleet {
-    bergamot_types::invariant::make_fatal();
+    bergamot_types::invariant::make_violations_fatal();
     let fleet = LocalFleet::start(options).expect("the fleet starts");
     let document = sample::document("1", options.replicas, options.vms_per_replica);
     fleet.roll(&document).expect("the bundle is rolled");
--- a/crates/placement/src/advance.rs
+++ b/crates/placement/src/advance.rs
@@ -65,7 +65,7 @@
     }
 
     fn is_leaving(&self, vm: &VmId) -> bool {
-        if is_on(Mutation::KeepLeaving) {
+        if is_on(Mutation::KeepLeavingGroup) {
             return false;
         }
         self.views
@@ -135,7 +135,7 @@
         let VmUse::Evicted(group) = &slot.usage else {
             continue;
         };
-        if context.has_dropped(vm, group) || is_on(Mutation::FreeUnseen) {
+        if context.has_dropped(vm, group) || is_on(Mutation::FreeUnconfirmedVm) {
             slot.usage = VmUse::Free;
         }
     }
@@ -202,7 +202,7 @@
             report.is_ready_in(id, group.epoch) && report.model.as_ref() == Some(&group.model)
         })
     };
-    let asked_members = match is_on(Mutation::TrustPartialGroup) {
+    let asked_members = match is_on(Mutation::AcceptPartialGroup) {
         true => 1,
         false => usize::MAX,
     };
@@ -215,7 +215,7 @@
         return false;
     };
     let waited = context.now.since(since.recorded);
-    if is_on(Mutation::ReleaseUndrained) {
+    if is_on(Mutation::ReleaseWithoutDrain) {
         return true;
     }
     if waited >= context.options.max_drain {
--- a/crates/placement/src/evidence.rs
+++ b/crates/placement/src/evidence.rs
@@ -31,7 +31,7 @@
         return None;
     }
     let mut evidence: Option<GroupEvidence> = None;
-    let asked_members = match is_on(Mutation::TrustPartialGroup) {
+    let asked_members = match is_on(Mutation::AcceptPartialGroup) {
         true => 1,
         false => usize::MAX,
     };
--- a/crates/placement/src/views.rs
+++ b/crates/placement/src/views.rs
@@ -124,7 +124,7 @@
     pub fn is_usable(&self, now: Millis, quiet_until: Millis, options: &PlacementOptions) -> bool {
         let is_idle = self
             .settled_report(now, quiet_until, options)
-            .is_some_and(|report| report.group.is_none() || is_on(Mutation::FreeUnseen));
+            .is_some_and(|report| report.group.is_none() || is_on(Mutation::FreeUnconfirmedVm));
         let is_steady = self
             .steady_since
             .is_some_and(|since| !self.has_flapped || now.since(since) >= options.flap_hold);
--- a/crates/proof/tests/claims/main.rs
+++ b/crates/proof/tests/claims/main.rs
@@ -291,5 +291,5 @@
 
 #[test]
 fn a_grant_without_a_copy_is_caught() {
-    expect_caught(Mutation::GrantWithoutCopy, 200, "ran 2 times", run);
+    expect_caught(Mutation::GrantWithoutReplica, 200, "ran 2 times", run);
 }
--- a/crates/proof/tests/control/main.rs
+++ b/crates/proof/tests/control/main.rs
@@ -323,22 +323,22 @@
 fn wrong_decisions_are_caught() {
     let cases = [
         MutationCase {
-            mutation: Mutation::TrustPartialGroup,
+            mutation: Mutation::AcceptPartialGroup,
             seeds: 400,
             expected: "served before",
         },
         MutationCase {
-            mutation: Mutation::FreeUnseen,
+            mutation: Mutation::FreeUnconfirmedVm,
             seeds: 400,
             expected: "was made a member",
         },
         MutationCase {
-            mutation: Mutation::KeepLeaving,
+            mutation: Mutation::KeepLeavingGroup,
             seeds: 400,
             expected: "which leaves",
         },
         MutationCase {
-            mutation: Mutation::ReleaseUndrained,
+            mutation: Mutation::ReleaseWithoutDrain,
             seeds: 400,
             expected: "were cut",
         },
--- a/crates/proof/tests/requests.rs
+++ b/crates/proof/tests/requests.rs
@@ -246,7 +246,7 @@
 #[test]
 fn wrong_decisions_are_caught() {
     let shares: fn(u64) -> Result<(), String> = |seed| shares(seed).map(|_| ());
-    expect_caught(Mutation::RepeatTokens, 500, "the caller got", stream);
-    expect_caught(Mutation::BrokenIsNotRun, 500, "ran 2 times", attempts);
-    expect_caught(Mutation::LendAndKeep, 50, "shares sum to", shares);
+    expect_caught(Mutation::ResendTokens, 500, "the caller got", stream);
+    expect_caught(Mutation::ReportFailedAsNotRun, 500, "ran 2 times", attempts);
+    expect_caught(Mutation::UseLentShare, 50, "shares sum to", shares);
 }
--- a/crates/routing/src/attempt.rs
+++ b/crates/routing/src/attempt.rs
@@ -70,7 +70,7 @@
     pub fn failed(self, outcome: SentOutcome) -> NextStep {
         match outcome {
             SentOutcome::RefusedNotRun | SentOutcome::NeverConnected => NextStep::MayRetry,
-            SentOutcome::Broken if is_on(Mutation::BrokenIsNotRun) => NextStep::MayRetry,
+            SentOutcome::Broken if is_on(Mutation::ReportFailedAsNotRun) => NextStep::MayRetry,
             SentOutcome::Broken if self.is_idempotent => NextStep::MayRetry,
             SentOutcome::Broken => NextStep::OutcomeUnknown,
         }
--- a/crates/routing/src/resume.rs
+++ b/crates/routing/src/resume.rs
@@ -41,7 +41,7 @@
 
     /// Notes a token with its offset in the whole answer.
     pub fn take(&mut self, offset: u64) -> TokenStep {
-        if offset < self.delivered && !is_on(Mutation::RepeatTokens) {
+        if offset < self.delivered && !is_on(Mutation::ResendTokens) {
             return TokenStep::Skip;
         }
         if offset > self.delivered {
--- a/crates/routing/src/share.rs
+++ b/crates/routing/src/share.rs
@@ -213,7 +213,7 @@
             true => self.slack(now, &account).min(question.wanted.max(0.0)),
             false => 0.0,
         };
-        if lent > 0.0 && !is_on(Mutation::LendAndKeep) {
+        if lent > 0.0 && !is_on(Mutation::UseLentShare) {
             let state = self.accounts.entry(account.clone()).or_default();
             state.lent.retain(|loan| loan.until > now);
             state.lent.push(Loan {
--- a/crates/types/src/id.rs
+++ b/crates/types/src/id.rs
@@ -1,4 +1,4 @@
-//! Names of things. Each id is its own type, so that one cannot stand in for another.
+//! Identifiers. Each kind has its own type, so that the compiler rejects a mix-up.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Declares one id: a cheaply cloned, ordered string.
+/// Declares an id type: an ordered string that is cheap to clone.
 macro_rules! string_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -15,12 +15,12 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Takes `text` as an id. Costs one allocation; clones cost none.
+            /// Creates an id from `text`. Allocates once; clones do not allocate.
             pub fn new(text: &str) -> Self {
                 Self(Arc::from(text))
             }
 
-            /// The id as text.
+            /// Returns the id as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -65,46 +65,46 @@
 }
 
 string_id!(
-    /// A VM, as the platform's list names it.
+    /// A VM, by its name in the platform's VM list.
     VmId
 );
 string_id!(
-    /// A part of the fleet that can be cut off as a whole.
+    /// A part of the fleet that can fail or be partitioned as a whole.
     FailureDomain
 );
 string_id!(
-    /// VMs joined by one fast interconnect; a replica never spans two.
+    /// VMs on one fast interconnect; a replica never spans two fabric domains.
     FabricDomain
 );
 string_id!(
-    /// A customer whose requests are admitted and limited together.
+    /// A client account; its requests are admitted and limited together.
     ClientAccount
 );
 string_id!(
-    /// What requests are sent to: one replica of a model, or one instance of a plain service.
+    /// A target of requests: one replica of a model, or one instance of a plain service.
     UpstreamId
 );
 string_id!(
-    /// An entry VM's daemon.
+    /// The daemon of an entry VM.
     EntryId
 );
 string_id!(
-    /// A replica group of VMs. Never used again after its release.
+    /// A replica group of VMs. Its id is never reused after its release.
     GroupId
 );
 string_id!(
-    /// The name callers ask a model by.
+    /// The name of a model in requests.
     ModelName
 );
 string_id!(
-    /// The name callers ask a plain service by.
+    /// The name of a plain service in requests.
     ServiceName
 );
 string_id!(
-    /// One request of one caller.
+    /// A single request of a caller.
     RequestId
 );
 string_id!(
-    /// The secret a caller proves its account with. Never logged.
+    /// The secret that authenticates a caller as a member of its account. Never logged.
     AccountToken
 );
--- a/crates/types/src/kind.rs
+++ b/crates/types/src/kind.rs
@@ -1,23 +1,23 @@
-//! The closed list of error kinds and the table from kind to answer.
+//! Closed set of error kinds, and the table that maps each kind to its response.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Whether a request ran on an upstream, as far as can be said truthfully.
+/// Whether a request ran on an upstream, as far as this system can tell for certain.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RanState {
-    /// No upstream began it, and none will.
+    /// No upstream began the request, and none will.
     No,
-    /// An upstream ran it.
+    /// An upstream ran the request.
     Yes,
-    /// It was sent, and what became of it cannot be learnt.
+    /// The request was sent, and its outcome cannot be determined.
     Unknown,
 }
 
 impl RanState {
-    /// The value of the `Bergamot-Ran` header.
+    /// Returns the value of the `Bergamot-Ran` header.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::No => "no",
@@ -33,10 +33,10 @@
     }
 }
 
-/// What a refused caller is told about one error kind.
+/// The error response that callers get for one error kind.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct AnswerRow {
-    /// The kind the row is for.
+pub struct ErrorResponse {
+    /// The kind that the response belongs to.
     pub kind: ErrorKind,
     /// The machine-readable code in the body.
     pub code: &'static str,
@@ -44,25 +44,25 @@
     pub status: u16,
     /// Whether the request ran.
     pub ran: RanState,
-    /// When to come back, in seconds; zero says that coming back does not help.
+    /// Delay before a retry, in seconds; zero means that a retry does not help.
     pub retry_after_secs: u64,
-    /// What it means, for the caller.
+    /// Explanation for the caller.
     pub message: &'static str,
 }
 
-/// Declares the kinds and their table together, so that neither can lack a row.
+/// Declares the kinds together with their responses, so that no kind can lack one.
 macro_rules! error_kinds {
     ($($(#[$doc:meta])* $kind:ident: $code:literal, $status:literal, $ran:ident, $retry:literal, $message:literal;)*) => {
-        /// Every way a request can fail to get an upstream's answer.
+        /// The reasons why a request can fail to get an upstream's answer.
         #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug, Serialize, Deserialize)]
         #[serde(rename_all = "snake_case")]
         pub enum ErrorKind {
             $($(#[$doc])* $kind,)*
         }
 
-        /// One row for each kind, in the order of the kinds.
-        pub const ANSWER_TABLE: &[AnswerRow] = &[
-            $(AnswerRow {
+        /// One response per kind, in the order of the kinds.
+        pub const ERROR_RESPONSES: &[ErrorResponse] = &[
+            $(ErrorResponse {
                 kind: ErrorKind::$kind,
                 code: $code,
                 status: $status,
@@ -81,9 +81,9 @@
     Unauthorized: "unauthorized", 401, No, 0, "the account token is missing or unknown";
     /// The account may not use this model or service.
     Forbidden: "forbidden", 403, No, 0, "the account may not use this model or service";
-    /// No such path, model or service in the bundle in force.
+    /// The bundle in force has no such path, model or service.
     NotFound: "not_found", 404, No, 0, "no such path, model or service";
-    /// The path does not take this method.
+    /// The path does not support this method.
     MethodNotAllowed: "method_not_allowed", 405, No, 0, "the path does not take this method";
     /// The body did not arrive in time.
     RequestTimeout: "request_timeout", 408, No, 0, "the request body did not arrive in time";
@@ -91,51 +91,51 @@
     KeyReused: "idempotency_key_reused", 422, No, 0, "the idempotency key was used with another request";
     /// A first request with the key is still running.
     KeyInProgress: "idempotency_key_in_progress", 409, Unknown, 1, "a request with the same idempotency key is still running";
-    /// The first request with the key was sent, and its outcome was lost.
+    /// The first request with the key was sent, and its outcome is not known.
     KeyOutcomeUnknown: "idempotency_key_outcome_unknown", 409, Unknown, 0, "a request with the same idempotency key was sent and its outcome is not known";
-    /// The holders of the key cannot be reached.
+    /// The holders of the claim cannot be reached.
     ClaimUnavailable: "claim_unavailable", 503, No, 2, "the record of the idempotency key cannot be reached";
-    /// The holders that could know of the key were lost together.
+    /// All holders that could have a claim of the key were lost together.
     ClaimForgotten: "claim_forgotten", 503, Unknown, 60, "whether the idempotency key was used before cannot be told for now";
-    /// The body is over the limit.
+    /// The body exceeds the size limit.
     TooLarge: "request_too_large", 413, No, 0, "the request body is too large";
-    /// The account's rate or concurrency is used up.
+    /// The account has reached its rate or concurrency limit.
     RateLimited: "rate_limited", 429, No, 1, "the account's limit is used up";
-    /// The queue is full, or would outlast the deadline.
+    /// The queue is full, or its wait would exceed the deadline.
     Overloaded: "overloaded", 503, No, 1, "no capacity before the deadline";
     /// No routable replica serves the model or service now.
     NoUpstream: "no_upstream", 503, No, 2, "no replica is ready for this model or service";
-    /// The upstream refused before running, as often as the budget allows.
+    /// Upstreams rejected the request before running it, as often as the retry budget allows.
     UpstreamRefused: "upstream_refused", 503, No, 1, "the upstreams refused the request";
     /// The deadline passed before anything was sent.
     DeadlineBeforeSend: "deadline_exceeded", 504, No, 0, "the deadline passed before the request was sent";
     /// The deadline passed after the request was sent.
     DeadlineAfterSend: "deadline_exceeded_after_send", 504, Unknown, 0, "the deadline passed while the request was running";
-    /// The upstream broke off after the request was sent.
+    /// The connection to the upstream failed after the request was sent.
     UpstreamLost: "upstream_lost", 502, Unknown, 0, "the upstream broke off and the outcome is not known";
     /// No bundle is in force yet.
     NoBundle: "no_bundle", 503, No, 2, "no bundle is in force yet";
-    /// The configuration was not confirmed recently enough to trust the caller's key.
+    /// The configuration was not confirmed recently enough to accept the caller's key.
     ConfigUnconfirmed: "configuration_unconfirmed", 503, No, 1, "the configuration could not be confirmed";
     /// The entry VM is stopping.
     ShuttingDown: "shutting_down", 503, No, 1, "this entry VM is stopping";
-    /// A fault of ours before anything was sent.
+    /// An internal fault before the request was sent.
     Internal: "internal", 500, No, 1, "an internal fault";
-    /// Upstreams ended under this request, so it is sent to none any more.
+    /// Upstreams crashed while they ran this request, so it is not sent to any other.
     Quarantined: "request_quarantined", 503, No, 600, "upstreams ended while they ran this request, and it is not sent to another one for now";
-    /// None of the upstreams takes requests for the moment.
+    /// No upstream takes requests at the moment.
     UpstreamsPaused: "upstreams_paused", 503, No, 1, "the upstreams take no more requests for a moment";
 }
 
 impl ErrorKind {
-    /// The row of the answer table. Constant time.
-    pub fn answer(self) -> &'static AnswerRow {
-        &ANSWER_TABLE[self as usize]
+    /// Returns the response for this kind. Constant time.
+    pub fn response(self) -> &'static ErrorResponse {
+        &ERROR_RESPONSES[self as usize]
     }
 
-    /// The machine-readable code.
+    /// Returns the machine-readable code.
     pub fn code(self) -> &'static str {
-        self.answer().code
+        self.response().code
     }
 }
 
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,6 +1,6 @@
-//! Ids, units, error kinds and invariants shared by every crate of bergamotstep.
+//! Ids, units, error kinds and invariants shared by all crates of bergamotstep.
 //!
-//! Nothing here does I/O, reads a clock or owns a source of random numbers.
+//! This crate does no I/O, reads no clock and owns no random number generator.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/types/src/mutate.rs
+++ b/crates/types/src/mutate.rs
@@ -1,28 +1,28 @@
-//! Wrong decisions that tests switch on to show that their checks catch them.
+//! Deliberate faults for mutation tests, which show that the invariant checks catch them.
 //!
-//! Without the feature `mutate` every switch is off for good, and the compiler leaves it out.
+//! Without the feature `mutate` no fault can be enabled, and the compiler removes the checks.
 
-/// One wrong decision for each promise.
+/// Deliberate faults, one for each invariant.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum Mutation {
-    /// A group counts as whole although one member did not report it.
-    TrustPartialGroup,
-    /// An evicted VM counts as free before it was seen outside its group.
-    FreeUnseen,
-    /// A resumed stream passes on tokens that the caller already has.
-    RepeatTokens,
-    /// A broken attempt counts as not run.
-    BrokenIsNotRun,
-    /// A claim is granted before another holder has its copy.
-    GrantWithoutCopy,
-    /// A leaving VM's group goes on.
-    KeepLeaving,
-    /// A group is released without waiting for what is in flight.
-    ReleaseUndrained,
-    /// A roll is adopted whatever its number.
+    /// A group counts as complete although one member did not report it.
+    AcceptPartialGroup,
+    /// An evicted VM counts as free before a report shows it outside its group.
+    FreeUnconfirmedVm,
+    /// A resumed stream sends tokens that the caller already has.
+    ResendTokens,
+    /// A failed attempt counts as not run.
+    ReportFailedAsNotRun,
+    /// A claim is granted before another holder has a replica of it.
+    GrantWithoutReplica,
+    /// The group of a leaving VM keeps serving.
+    KeepLeavingGroup,
+    /// A group is released without waiting for its requests in flight.
+    ReleaseWithoutDrain,
+    /// A roll is adopted regardless of its number.
     AdoptAnyRoll,
-    /// A lender keeps using what it lent.
-    LendAndKeep,
+    /// A lender keeps using the share it lent.
+    UseLentShare,
 }
 
 #[cfg(feature = "mutate")]
@@ -32,17 +32,17 @@
     use super::Mutation;
 
     thread_local! {
-        static ON: Cell<Option<Mutation>> = const { Cell::new(None) };
+        static ENABLED_MUTATION: Cell<Option<Mutation>> = const { Cell::new(None) };
     }
 
-    /// Whether the wrong decision is switched on in this thread.
+    /// Whether the fault is enabled in this thread.
     pub fn is_on(mutation: Mutation) -> bool {
-        ON.get() == Some(mutation)
+        ENABLED_MUTATION.get() == Some(mutation)
     }
 
-    /// Switches one wrong decision on in this thread, or all off.
+    /// Enables one fault in this thread, or disables all.
     pub fn set(mutation: Option<Mutation>) {
-        ON.set(mutation);
+        ENABLED_MUTATION.set(mutation);
     }
 }
 
@@ -50,7 +50,7 @@
 mod switch {
     use super::Mutation;
 
-    /// Whether the wrong decision is switched on: never.
+    /// Always false: faults need the feature `mutate`.
     pub const fn is_on(_: Mutation) -> bool {
         false
     }
--- a/crates/types/src/prelude.rs
+++ b/crates/types/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types nearly every module names.
+//! Types that nearly every module uses.
 
 pub use crate::hash::{hash_bytes, rendezvous_rank, rendezvous_score};
 pub use crate::id::{
--- a/crates/types/src/time.rs
+++ b/crates/types/src/time.rs
@@ -1,11 +1,11 @@
-//! Time as the decision crates see it: milliseconds handed in by whoever drives them.
+//! Time as the state machines see it: milliseconds passed in by their driver.
 
 use std::fmt;
 use std::ops::{Add, Sub};
 
 use serde::{Deserialize, Serialize};
 
-/// A point on the driver's monotonic clock, or a span between two, in milliseconds.
+/// A point on the driver's monotonic clock, or the span between two points, in milliseconds.
 #[derive(
     Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Debug, Serialize, Deserialize,
 )]
@@ -13,47 +13,47 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// No time at all, or the start of the clock.
+    /// An empty span, or the start of the clock.
     pub const ZERO: Self = Self(0);
 
-    /// A span of whole seconds.
+    /// Creates a span of whole seconds.
     pub const fn from_secs(seconds: u64) -> Self {
         Self(seconds * 1_000)
     }
 
-    /// The span from `earlier` to `self`, or zero when `earlier` is later.
+    /// Returns the span from `earlier` to `self`, or zero if `earlier` is later.
     pub const fn since(self, earlier: Self) -> Self {
         Self(self.0.saturating_sub(earlier.0))
     }
 
-    /// The span in seconds.
+    /// Returns the span in seconds.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1_000.0
     }
 
-    /// The span as a standard duration.
+    /// Returns the span as a standard duration.
     pub const fn as_duration(self) -> std::time::Duration {
         std::time::Duration::from_millis(self.0)
     }
 }
 
-/// Why a text names no time span.
+/// Reasons why a text is not a valid time span.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum SpanError {
-    /// There is nothing to read.
+    /// The text is empty.
     #[error("it is empty")]
     Empty,
-    /// Other than digits with at most one point: a date, a sign or a word.
+    /// The text holds something other than digits with at most one point: a date, a sign or a word.
     #[error("it is no number of seconds")]
     NotSeconds,
-    /// Named more than once.
+    /// The span is given more than once.
     #[error("it is named twice")]
     Repeated,
 }
 
 impl Millis {
-    /// Reads a decimal number of seconds, rounded up, so that a span is never read as shorter than was named. One that is too
-    /// long to be kept is read as the longest.
+    /// Parses a decimal number of seconds. Rounds up, so that the result is never shorter than the text
+    /// states. A span that exceeds the range becomes the longest one.
     ///
     /// # Errors
     /// See [`SpanError`].
--- a/crates/types/tests/rate.rs
+++ b/crates/types/tests/rate.rs
@@ -1,4 +1,4 @@
-//! Which texts name a rate, and which rate.
+//! Tests of parsing and formatting rates.
 
 use bergamot_types::prelude::*;
 
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn only_plain_decimal_numbers_name_a_rate() {
+fn only_plain_decimal_numbers_parse_as_a_rate() {
     let cases = [
         RateCase {
             text: "1.9",
@@ -91,9 +91,9 @@
 }
 
 #[test]
-fn a_rate_is_written_as_it_is_read() {
+fn formatting_restores_the_parsed_text() {
     for text in ["0.000", "1.900", "12.345", "4000.001"] {
-        let rate: SendRate = text.parse().expect("a rate");
+        let rate: SendRate = text.parse().expect("a valid rate");
         assert_eq!(rate.to_string(), text);
     }
 }
--- a/crates/types/tests/time.rs
+++ b/crates/types/tests/time.rs
@@ -1,4 +1,4 @@
-//! Which texts name a span of seconds.
+//! Tests of parsing time spans.
 
 use bergamot_types::prelude::*;
 
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn only_plain_decimal_numbers_name_a_span() {
+fn only_plain_decimal_numbers_parse_as_a_span() {
     let cases = [
         SpanCase {
             text: "3",
