--- a/crates/gateway/src/front/attempt.rs
+++ b/crates/gateway/src/front/attempt.rs
@@ -216,7 +216,7 @@
     })?;
     let (head, body) = reply.into_parts();
     let facts = front.dialect.reply_facts(&request.call.id, &head);
-    if !facts.is_own {
+    if !facts.matches_request {
         return Err(AttemptError::Broken(
             "an answer to another request".to_owned(),
         ));
@@ -227,7 +227,7 @@
         note_gate(front, &upstream.incarnation, &facts);
     }
     let back_off = facts
-        .back_off
+        .backoff
         .ok()
         .flatten()
         .filter(|time| *time > Millis::ZERO);
--- a/crates/gateway/src/front/call.rs
+++ b/crates/gateway/src/front/call.rs
@@ -102,7 +102,7 @@
                 return relay_events(front, request, state, *reply).await;
             }
             TryOutcome::Answered(answer) => return answer,
-            TryOutcome::OwnFailure(answer) if !state.route.is_repeatable() => return answer,
+            TryOutcome::OwnFailure(answer) if !state.route.is_retryable() => return answer,
             TryOutcome::OwnFailure(answer) => failed = Some(answer),
             TryOutcome::Failed(error) => {
                 log::info!(
@@ -115,7 +115,7 @@
                     error.as_str(),
                     front.now().since(state.arrived),
                 );
-                let may_go_on = state.route.is_repeatable() || !state.may_have_run();
+                let may_go_on = state.route.is_retryable() || !state.may_have_run();
                 if !may_go_on {
                     let kind = match front.now() >= state.deadline {
                         true => ErrorKind::DeadlineAfterSend,
--- a/crates/gateway/src/front/gates.rs
+++ b/crates/gateway/src/front/gates.rs
@@ -13,7 +13,7 @@
     incarnation: &UpstreamIncarnation,
     facts: &ReplyFacts,
 ) {
-    match facts.back_off {
+    match facts.backoff {
         Ok(None) => {}
         Ok(Some(time)) => note_back_off(front, incarnation, time),
         Err(error) => {
--- a/crates/gateway/src/group_actions.rs
+++ b/crates/gateway/src/group_actions.rs
@@ -80,7 +80,7 @@
         GroupAction::Order(request) => {
             let began = clock.now();
             let outcome = match control.order(&request).await {
-                OrderOutcome::Unknown(_) if stood_still(clock, began, Control::ORDER_TIME) => {
+                OrderOutcome::Unknown(_) if stood_still(clock, began, Control::ORDER_TIMEOUT) => {
                     OrderOutcome::Unheard
                 }
                 outcome => outcome,
@@ -92,10 +92,12 @@
             let outcome = match control.report(&target).await {
                 Ok(report) => AskOutcome::Answered(report),
                 Err(ControlError::Gone) => AskOutcome::Gone,
-                Err(ControlError::Silent(_)) if stood_still(clock, began, Control::REPORT_TIME) => {
+                Err(ControlError::NoAnswer(_))
+                    if stood_still(clock, began, Control::REPORT_TIMEOUT) =>
+                {
                     AskOutcome::Unheard
                 }
-                Err(ControlError::Silent(reason)) => {
+                Err(ControlError::NoAnswer(reason)) => {
                     log::info!(
                         "event=report_missing upstream={} reason={reason:?}",
                         target.incarnation
--- a/crates/gateway/src/groups.rs
+++ b/crates/gateway/src/groups.rs
@@ -189,7 +189,7 @@
     }
 
     async fn end_lease(&self, lease: u64) {
-        if let Err(error) = self.store.end_lease(lease).await {
+        if let Err(error) = self.store.revoke_lease(lease).await {
             log::info!("event=lease_not_ended reason={error:?}");
         }
     }
--- a/crates/gateway/src/sync/mod.rs
+++ b/crates/gateway/src/sync/mod.rs
@@ -218,7 +218,7 @@
                 }
                 tokio::time::sleep(self.watch_pause()).await;
             }
-            Ok(WatchOutcome::HistoryGone) => {
+            Ok(WatchOutcome::Compacted) => {
                 log::info!("event=store_history_gone revision={revision}");
                 self.known.revision = None;
             }
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -76,7 +76,7 @@
             continue;
         };
         let pace = engine.models.get(&model).map_or(1.0, |it| it.pace);
-        let speed = engine.speed.map(|speed| speed.paced(pace));
+        let speed = engine.speed.map(|speed| speed.scaled_by_pace(pace));
         let upstream = route_upstream(entry, engine.slots, speed);
         pool.models.entry(model).or_default().push(upstream);
     }
--- a/crates/gateway/tests/orders.rs
+++ b/crates/gateway/tests/orders.rs
@@ -53,7 +53,7 @@
         lost()
     }
 
-    async fn end_lease(&self, _lease: u64) -> Result<(), StoreError> {
+    async fn revoke_lease(&self, _lease: u64) -> Result<(), StoreError> {
         lost()
     }
 
@@ -67,8 +67,8 @@
 }
 
 impl UpstreamControl for CountedControl {
-    const REPORT_TIME: Duration = Duration::from_millis(150);
-    const ORDER_TIME: Duration = Duration::from_millis(300);
+    const REPORT_TIMEOUT: Duration = Duration::from_millis(150);
+    const ORDER_TIMEOUT: Duration = Duration::from_millis(300);
 
     async fn report(&self, _target: &UpstreamTarget) -> Result<UpstreamReport, ControlError> {
         Err(ControlError::Gone)
--- a/crates/gateway/tests/takeover.rs
+++ b/crates/gateway/tests/takeover.rs
@@ -92,7 +92,7 @@
         Ok(true)
     }
 
-    async fn end_lease(&self, _lease: u64) -> Result<(), StoreError> {
+    async fn revoke_lease(&self, _lease: u64) -> Result<(), StoreError> {
         self.note("end", StopMoment::Never);
         Ok(())
     }
@@ -104,8 +104,8 @@
 struct LostControl;
 
 impl UpstreamControl for LostControl {
-    const REPORT_TIME: Duration = Duration::from_millis(150);
-    const ORDER_TIME: Duration = Duration::from_millis(300);
+    const REPORT_TIMEOUT: Duration = Duration::from_millis(150);
+    const ORDER_TIMEOUT: Duration = Duration::from_millis(300);
 
     async fn report(&self, _target: &UpstreamTarget) -> Result<UpstreamReport, ControlError> {
         Err(ControlError::Gone)
--- a/crates/groups/src/demand.rs
+++ b/crates/groups/src/demand.rs
@@ -84,7 +84,7 @@
     let mut requests = 0.0;
     for model in spec.models.values() {
         let asked = uses.get(&model.name).copied().unwrap_or_default();
-        let speed = speed.paced(model.pace);
+        let speed = speed.scaled_by_pace(model.pace);
         let slots = f64::from(spec.slots.max(1));
         let reading = asked.prompt_tokens / speed.tokens_per_ms;
         let writing = asked.requests * asked.events.unwrap_or(1.0) * speed.pass_ms(slots) / slots;
--- a/crates/groups/src/step.rs
+++ b/crates/groups/src/step.rs
@@ -177,7 +177,7 @@
                 let order = GroupOrder::Close {
                     group: key.0.clone(),
                     epoch: key.1,
-                    is_cut: false,
+                    aborts_in_flight: false,
                 };
                 self.give(now, leader, order, actions);
             }
--- a/crates/ports/src/call.rs
+++ b/crates/ports/src/call.rs
@@ -1,4 +1,4 @@
-//! A caller's request as one typed call, and the way back.
+//! Typed caller requests, and their translation to and from HTTP.
 
 use bergamot_types::AccountToken;
 use bergamot_types::prelude::*;
@@ -6,99 +6,101 @@
 use hyper::http::response::Parts as ReplyParts;
 use hyper::{HeaderMap, Response};
 
-/// What a caller's request says, apart from its body.
+/// A caller's request without its body.
 #[derive(Clone, Debug)]
 pub struct CallerCall {
-    /// The caller's name for this request.
+    /// The request id, as chosen by the caller.
     pub id: RequestId,
-    /// The host asked for.
+    /// The requested host.
     pub host: String,
-    /// The secret it came with.
+    /// The account token of the request.
     pub key: Option<AccountToken>,
-    /// Time the caller will wait.
+    /// How long the caller waits for an answer.
     pub deadline: Option<Millis>,
-    /// The model that must answer.
+    /// The requested model.
     pub model: Option<ModelName>,
-    /// The last event the caller has, when it resumes a stream.
+    /// The last event that the caller received, if it resumes a stream.
     pub resume_after: Option<u64>,
-    /// Tokens of the prompt and the most tokens of the answer.
+    /// Number of prompt tokens, and maximum number of answer tokens.
     pub tokens: Option<(u64, u64)>,
-    /// Headers to pass on, without the caller's key and without those of its connection.
+    /// Headers to forward, without the caller's key and without connection headers.
     pub headers: HeaderMap,
 }
 
 impl CallerCall {
-    /// Tokens of the prompt; 0 where the call does not say.
+    /// Returns the number of prompt tokens, or 0 if the request does not state it.
     pub fn prompt_tokens(&self) -> u32 {
         let prompt = self.tokens.map_or(0, |(prompt, _)| prompt);
         prompt.try_into().unwrap_or(u32::MAX)
     }
 }
 
-/// What this system adds to a request it sends.
+/// Information that this system adds to a request for an upstream.
 #[derive(Clone, Debug)]
 pub struct OutgoingContext<'a> {
-    /// The upstream that must take it.
+    /// The upstream that the request is for.
     pub upstream: &'a UpstreamId,
-    /// Whose request it is.
+    /// The client account of the caller.
     pub account: Option<&'a ClientAccount>,
-    /// Time that is left.
+    /// Time until the deadline.
     pub time_left: Millis,
-    /// 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// The last event that was delivered, when a stream is resumed.
+    /// The last event that was delivered to the caller, if a stream is resumed.
     pub resume_after: Option<u64>,
 }
 
-/// What an upstream's answer says of itself.
+/// Information in the head of an upstream's answer.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct ReplyFacts {
-    /// Whether it answers this very request.
-    pub is_own: bool,
-    /// Whether the upstream says that the request did not run.
+    /// Whether the answer belongs to the request that was sent.
+    pub matches_request: bool,
+    /// Whether the upstream advertises that the request did not run.
     pub is_not_run: bool,
-    /// Whether another upstream took the connection.
+    /// Whether another upstream accepted the connection.
     pub is_misdirected: bool,
-    /// Whether it bears the upstream's signature.
+    /// Whether the answer carries the upstream's signature.
     pub is_signed: bool,
-    /// Seconds the upstream keeps an idle connection, if it says so.
+    /// Seconds for which the upstream keeps an idle connection open, if it advertises that.
     pub keep_alive: Option<u64>,
-    /// Requests a second that the upstream takes from all entry VMs together; none where it advertises no limit.
+    /// Requests per second that the upstream accepts from all entry VMs together; none if it advertises no
+    /// limit.
     pub send_limit: Result<Option<SendRate>, RateError>,
-    /// Time for which this VM is to back off from the upstream, which refused the request; none where it says no time.
-    pub back_off: Result<Option<Millis>, SpanError>,
-    /// Whether the upstream says that it leaves.
+    /// How long this VM has to back off from an upstream that rejected the request; none if the upstream
+    /// advertises no time.
+    pub backoff: Result<Option<Millis>, SpanError>,
+    /// Whether the upstream advertises that it is leaving.
     pub is_leaving: bool,
 }
 
-/// An answer of this system's own.
+/// Contents of an error response by which this system rejects a request.
 #[derive(Clone, Copy, Debug)]
 pub struct RefusalContext<'a> {
-    /// Why.
+    /// The error kind.
     pub kind: ErrorKind,
-    /// The request, where it could be read.
+    /// The request id, if it could be parsed.
     pub id: Option<&'a RequestId>,
-    /// When to come back.
+    /// Delay before a retry.
     pub retry_after: Option<Millis>,
 }
 
-/// Translates between callers and upstreams on one side and typed calls on the other.
+/// Translates between the HTTP of callers and upstreams, and typed calls.
 pub trait CallerDialect {
-    /// Reads a request's head.
+    /// Parses the head of a request.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// The reason why the request is invalid.
     fn read_call(&self, head: &RequestParts) -> Result<CallerCall, ErrorKind>;
 
-    /// The headers of the request as an upstream gets it.
+    /// Returns the headers of the request to an upstream.
     fn outgoing_headers(&self, call: &CallerCall, context: &OutgoingContext<'_>) -> HeaderMap;
 
-    /// Reads an upstream's answer to a request.
+    /// Parses the head of an upstream's answer to a request.
     fn reply_facts(&self, id: &RequestId, head: &ReplyParts) -> ReplyFacts;
 
-    /// The headers of an upstream's answer as the caller gets it.
+    /// Returns the headers of the answer to the caller.
     fn answer_headers(&self, head: &ReplyParts) -> HeaderMap;
 
-    /// An answer of this system's own.
+    /// Returns the error response for a rejected request.
     fn refusal(&self, context: &RefusalContext<'_>) -> Response<String>;
 }
--- a/crates/ports/src/catalog.rs
+++ b/crates/ports/src/catalog.rs
@@ -1,4 +1,4 @@
-//! Where configuration and directory lie in the store, and how to read them.
+//! Location and parsing of the configuration and the upstream directory in the store.
 
 use bergamot_types::prelude::*;
 
@@ -6,40 +6,40 @@
 use crate::directory::UpstreamEntry;
 use crate::store::StoreItem;
 
-/// The largest value that may be an upstream's entry, in bytes: sixteen times what they write. A longer one is
-/// another writer's, and is not passed on between entry VMs.
+/// Maximum size of an upstream's entry in bytes: sixteen times what upstreams write. Entry VMs do not
+/// send larger values to each other, as these come from another writer.
 pub const MAX_ENTRY_BYTES: usize = 16 << 10;
 
-/// An item that cannot be read.
+/// An item that cannot be parsed.
 #[derive(Clone, Debug, thiserror::Error)]
 #[error("{key} cannot be read: {reason}")]
 pub struct CatalogError {
-    /// The item's key.
+    /// The key of the item.
     pub key: String,
-    /// What is wrong with it.
+    /// The reason why the value is invalid.
     pub reason: String,
 }
 
-/// Reads what operators and upstreams keep in the store.
+/// Parses the items that operators and upstreams write to the store.
 pub trait StoreCatalog {
-    /// The key of the configuration.
+    /// Returns the key of the configuration.
     fn config_key(&self) -> &str;
 
-    /// The prefix of the upstreams' entries.
+    /// Returns the key prefix of the upstreams' entries.
     fn upstream_prefix(&self) -> &str;
 
-    /// The id of the upstream whose entry has this key.
+    /// Returns the id of the upstream whose entry has this key.
     fn upstream_id(&self, key: &str) -> Option<UpstreamId>;
 
-    /// Reads a configuration.
+    /// Parses a configuration.
     ///
     /// # Errors
-    /// When it is malformed.
+    /// Fails if the value is malformed.
     fn read_config(&self, item: &StoreItem) -> Result<ServingConfig, CatalogError>;
 
-    /// Reads an upstream's entry.
+    /// Parses an upstream's entry.
     ///
     /// # Errors
-    /// When it is malformed.
+    /// Fails if the value is malformed.
     fn read_upstream(&self, item: &StoreItem) -> Result<UpstreamEntry, CatalogError>;
 }
--- a/crates/ports/src/config.rs
+++ b/crates/ports/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: routes, services, client accounts, limits.
+//! The serving configuration: routes, services, client accounts and limits.
 
 use bergamot_types::AccountToken;
 use bergamot_types::prelude::*;
@@ -7,16 +7,16 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum RouteKind {
-    /// May run any number of times.
+    /// A request may run any number of times.
     Idempotent,
-    /// Runs at most once for each request id.
+    /// A request runs at most once per request id.
     NonIdempotent,
-    /// Answered with events; runs at most once unless the route is resumable.
+    /// The answer is an event stream. A request runs at most once unless the route is resumable.
     Streaming,
 }
 
 impl RouteKind {
-    /// The kind as it stands in logs and metrics.
+    /// Returns the name of the kind in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Idempotent => "idempotent",
@@ -26,45 +26,45 @@
     }
 }
 
-/// One service that a route sends to, with its share.
+/// A service that a route sends requests to.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct RouteTarget {
     /// The service.
     pub service: ServiceName,
-    /// Its part of the requests, relative to the route's other targets.
+    /// Its share of the requests, relative to the other targets of the route.
     pub weight: u32,
 }
 
-/// One route.
+/// A route.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Route {
-    /// Its name, for logs.
+    /// Its name in logs.
     pub name: String,
-    /// The start of the paths it takes, with a slash at both ends.
+    /// The path prefix that it matches, with a slash at both ends.
     pub prefix: String,
-    /// Whether its requests may be repeated.
+    /// How often its requests may run.
     pub kind: RouteKind,
-    /// The longest time a caller is kept waiting.
+    /// Maximum time that a caller waits.
     pub timeout: Millis,
-    /// The time within which an answer is on time.
+    /// Latency objective: the time within which an answer counts as in time.
     pub objective: Millis,
-    /// The longest pause between two events that is still on time.
+    /// Maximum pause between two events that counts as in time.
     pub pause_objective: Option<Millis>,
-    /// Upstreams that one request may be sent to.
+    /// Maximum number of upstreams that a request is sent to.
     pub max_attempts: u32,
-    /// 0 is the most urgent.
+    /// Priority of its requests; 0 is the most urgent.
     pub priority: u8,
-    /// Whether it takes requests without an account's key.
+    /// Whether it accepts requests without an account token.
     pub is_public: bool,
-    /// Whether a broken stream may go on at another upstream.
+    /// Whether a broken stream may be resumed at another upstream.
     pub is_resumable: bool,
-    /// Where its requests go.
+    /// The services that receive its requests.
     pub targets: Vec<RouteTarget>,
 }
 
 impl Route {
-    /// Whether a request that may have run may be sent once more.
-    pub fn is_repeatable(&self) -> bool {
+    /// Whether a request that may have run already may be sent again.
+    pub fn is_retryable(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent => true,
             RouteKind::NonIdempotent => false,
@@ -78,41 +78,41 @@
 pub struct ModelSpec {
     /// Its name.
     pub name: ModelName,
-    /// Upstreams that one replica spans.
+    /// Number of upstreams in one replica.
     pub group_size: usize,
-    /// Its expected share of the work, as a part of the upstreams, 0 to 1.
+    /// Its expected share of the load, as a fraction of the upstreams from 0 to 1.
     pub demand_share: f64,
-    /// Factor on all times of its groups; lower is faster.
+    /// Factor on all processing times of its groups; lower is faster.
     pub pace: f64,
     /// Time to load its weights from the weight store.
     pub load_time: Millis,
-    /// Time to get ready where its weights are on the host.
+    /// Time to become ready if its weights are on the host.
     pub warmup_time: Millis,
 }
 
-/// How fast a replica is when its model has a pace of 1.
+/// Speed of a replica whose model has a pace of 1.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct EngineSpeed {
-    /// Time of one step, in which each running request gets a token, in milliseconds.
+    /// Time of one step in milliseconds. Each running request gets one token per step.
     pub step_ms: f64,
-    /// Added to it for each running request, in milliseconds.
+    /// Additional time of a step per running request, in milliseconds.
     pub step_ms_per_request: f64,
-    /// Steps of a pass, after which events leave and new prompts are read.
+    /// Number of steps in a pass. Events are sent and new prompts are read between passes.
     pub steps_per_pass: u32,
-    /// Prompt tokens read in a millisecond.
+    /// Prompt tokens that are read per millisecond.
     pub tokens_per_ms: f64,
 }
 
 impl EngineSpeed {
-    /// The time of a pass with so many running requests that reads no prompt, in milliseconds.
+    /// Returns the time in milliseconds of a pass with `running` requests that reads no prompt.
     pub fn pass_ms(&self, running: f64) -> f64 {
         let step = self.step_ms + self.step_ms_per_request * running;
         step * f64::from(self.steps_per_pass)
     }
 
-    /// The speed of a model whose times are `pace` times as long.
+    /// Returns the speed of a model whose processing times are `pace` times as long.
     #[must_use]
-    pub fn paced(self, pace: f64) -> Self {
+    pub fn scaled_by_pace(self, pace: f64) -> Self {
         Self {
             step_ms: self.step_ms * pace,
             step_ms_per_request: self.step_ms_per_request * pace,
@@ -122,49 +122,49 @@
     }
 }
 
-/// What the engines of a service can do.
+/// Capabilities of the engines of a service.
 #[derive(Clone, PartialEq, Debug)]
 pub struct EngineSpec {
-    /// Requests one group runs at once.
+    /// Number of requests that one group runs concurrently.
     pub slots: u32,
-    /// The models by name.
+    /// Models by name.
     pub models: IndexMap<ModelName, ModelSpec>,
-    /// Loads from the weight store that may begin in a second.
+    /// Maximum number of loads from the weight store that may begin per second.
     pub loads_per_second: f64,
-    /// Loads that run at full speed side by side.
+    /// Number of concurrent loads that run at full speed.
     pub parallel_loads: usize,
-    /// Time a ready group takes to begin serving.
+    /// Time from the readiness of a group until it serves requests.
     pub open_time: Millis,
-    /// How fast they are, where it is known.
+    /// Speed of the engines, if known.
     pub speed: Option<EngineSpeed>,
 }
 
-/// One service.
+/// A service.
 #[derive(Clone, PartialEq, Debug)]
 pub struct ServiceSpec {
     /// Its name.
     pub name: ServiceName,
-    /// Connections one upstream takes from all entry VMs together.
+    /// Maximum number of connections that an upstream accepts from all entry VMs together.
     pub max_connections: u32,
-    /// Set where its upstreams are members of replica groups.
+    /// Set if its upstreams are members of replica groups.
     pub engine: Option<EngineSpec>,
 }
 
-/// What a caller may send, and how slowly.
+/// Size and time limits for what callers send.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head in bytes.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body in bytes.
     pub body_bytes: usize,
-    /// Time for a request's head to arrive.
+    /// Maximum time until a request's head has arrived.
     pub header_timeout: Millis,
-    /// Time a connection may stay idle.
+    /// Maximum time for which a connection may be idle.
     pub idle_timeout: Millis,
 }
 
 impl Default for CallerLimits {
-    /// What holds before the first configuration is read.
+    /// Limits until the first configuration is read.
     fn default() -> Self {
         Self {
             header_bytes: 16 << 10,
@@ -175,37 +175,37 @@
     }
 }
 
-/// An account as a key leads to it.
+/// The account that a token grants access to.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct AccountGrant {
     /// The account.
     pub account: ClientAccount,
-    /// Its rank, which goes before the route's; 0 is the most urgent.
+    /// Priority that overrides the one of the route; 0 is the most urgent.
     pub priority: Option<u8>,
 }
 
 /// One version of the configuration.
 #[derive(Clone, PartialEq, Debug, Default)]
 pub struct ServingConfig {
-    /// The operator's version number. It only grows.
+    /// The operator's version number, which only increases.
     pub version: u64,
-    /// Routes by host in lower case, longest prefix first.
+    /// Routes by lower-case host name, longest prefix first.
     pub hosts: IndexMap<String, Vec<Route>>,
     /// Services by name.
     pub services: IndexMap<ServiceName, ServiceSpec>,
-    /// Accounts by key; none where requests carry no keys.
+    /// Accounts by token; none if requests carry no tokens.
     pub accounts: Option<IndexMap<AccountToken, AccountGrant>>,
-    /// Limits on what callers send.
+    /// Limits for what callers send.
     pub caller_limits: CallerLimits,
 }
 
 impl ServingConfig {
-    /// The route for a host and a path. Costs one look-up and a scan of the host's routes.
+    /// Returns the route for a host and a path. Costs one lookup and a scan of the host's routes.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
-        let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
-        let routes = match self.hosts.get(name) {
+        let host_name = host.rsplit_once(':').map_or(host, |(name, _)| name);
+        let routes = match self.hosts.get(host_name) {
             Some(routes) => routes,
-            None => self.hosts.get(&name.to_ascii_lowercase())?,
+            None => self.hosts.get(&host_name.to_ascii_lowercase())?,
         };
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
--- a/crates/ports/src/control.rs
+++ b/crates/ports/src/control.rs
@@ -1,4 +1,4 @@
-//! Reports of upstreams and orders to them.
+//! Reports from upstreams and orders to upstreams.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,91 +7,94 @@
 
 use crate::directory::GroupMembership;
 
-/// The upstream a question or an order is meant for.
+/// The upstream to query or to send an order to.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct UpstreamTarget {
-    /// Which run of it. Another upstream at its address refuses; a later run of its own may take what was meant
-    /// for this one, and is told apart by the number of orders it has begun.
+    /// The incarnation of the upstream. Another upstream at the same address rejects the call. A later
+    /// incarnation of the same upstream may accept it; the number of orders begun tells them apart.
     pub incarnation: UpstreamIncarnation,
-    /// Where it listens.
+    /// The address it listens on.
     pub addr: SocketAddr,
 }
 
-/// What an upstream said of itself.
+/// An upstream's report on its own state.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct UpstreamReport {
-    /// When the run that answers started, if it says so.
+    /// When the answering incarnation started, if it advertises that.
     pub born: Option<UnixMillis>,
-    /// Orders that it has begun since its start.
+    /// Number of orders it has begun since its start.
     pub orders_begun: u64,
-    /// Whether an order is in progress, such as a load.
+    /// Whether an order is in progress, for example a weight load.
     pub is_busy: bool,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// The group it belongs to.
+    /// The group it is a member of.
     pub membership: Option<GroupMembership>,
 }
 
-/// Something an upstream is told to do.
+/// An order to an upstream.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum GroupOrder {
-    /// Join a group; the first of the members leads.
+    /// Join a group. The first member is the leader.
     Join {
         /// The group.
         group: GroupId,
-        /// Which list of members this is.
+        /// The version of the member list.
         epoch: u64,
-        /// What to run.
+        /// The model to run.
         model: ModelName,
-        /// All members in order of rank.
+        /// All members by rank.
         members: Vec<UpstreamId>,
     },
-    /// Begin to take requests, as the leader.
+    /// As the leader, start accepting requests.
     Open {
         /// The group.
         group: GroupId,
         /// Its epoch.
         epoch: u64,
     },
-    /// Take no more requests, as the leader.
+    /// As the leader, stop accepting requests.
     Close {
         /// The group.
         group: GroupId,
         /// Its epoch.
         epoch: u64,
-        /// Whether what is in flight is cut rather than ended.
-        is_cut: bool,
+        /// Whether requests in flight are aborted instead of finished.
+        aborts_in_flight: bool,
     },
-    /// Leave the group at once.
+    /// Leave the group immediately.
     Leave {
         /// The group.
         group: GroupId,
         /// Its epoch.
         epoch: u64,
     },
-    /// Load a model onto the host without joining a group.
+    /// Load the weights of a model onto the host without joining a group.
     Stage {
-        /// What to load.
+        /// The model to load.
         model: ModelName,
     },
 }
 
 impl GroupOrder {
-    /// The order's name in logs and metrics.
+    /// Returns the name of the order in logs and metrics.
     pub const fn as_str(&self) -> &'static str {
         match self {
             Self::Join { .. } => "join",
             Self::Open { .. } => "open",
-            Self::Close { is_cut: true, .. } => "close_cut",
+            Self::Close {
+                aborts_in_flight: true,
+                ..
+            } => "close_cut",
             Self::Close { .. } => "close",
             Self::Leave { .. } => "leave",
             Self::Stage { .. } => "stage",
         }
     }
 
-    /// The group it is about.
+    /// Returns the group that the order concerns.
     pub const fn group(&self) -> Option<&GroupId> {
         match self {
             Self::Join { group, .. }
@@ -103,71 +106,71 @@
     }
 }
 
-/// An order with the numbers that fence it.
+/// An order with its fencing numbers.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct OrderRequest {
-    /// Who is told.
+    /// The upstream that receives the order.
     pub target: UpstreamTarget,
-    /// What to do.
+    /// The order.
     pub order: GroupOrder,
-    /// The coordinator's fencing number. Lower ones than seen are refused.
+    /// The coordinator's fencing number. Upstreams reject numbers below the highest one they have seen.
     pub fence: u64,
-    /// Orders the upstream must have begun so far; any other number refuses, so that an order
-    /// that is delivered late finds itself out of date.
+    /// Number of orders that the upstream must have begun so far. It rejects the order on a mismatch, so
+    /// that an order that is delivered late has no effect.
     pub expected: Option<u64>,
 }
 
-/// What became of an order.
+/// Outcome of an order.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum OrderOutcome {
-    /// It has begun.
+    /// The upstream has begun the order.
     Begun,
-    /// What it asks for holds already.
+    /// The upstream is already in the requested state.
     Holds,
-    /// It does not fit the upstream's state, or its number of orders.
+    /// The order does not match the upstream's state or its number of orders begun.
     Unfit,
-    /// A higher fencing number was seen.
+    /// The upstream has seen a higher fencing number.
     Fenced,
-    /// It does not know the order, or cannot read it.
+    /// The upstream does not know the order or cannot parse it. Holds the HTTP status.
     Refused(u16),
-    /// Another upstream listens there: this one is gone. A refused connection does not show that, as a
-    /// partition may refuse connections too.
+    /// Another upstream listens at the address, so the target has crashed or left. A refused connection
+    /// is no proof of that, as a partition may also refuse connections.
     Gone,
-    /// No answer: it may have begun, or may yet.
+    /// No answer: the upstream may have begun the order, or may still begin it.
     Unknown(String),
-    /// The same, but this process stood still while it waited, or before it could send the order: that says nothing of
-    /// the upstream.
+    /// As [`OrderOutcome::Unknown`], but this process was paused while it waited or before it sent the
+    /// order, so the missing answer says nothing about the upstream.
     Unheard,
 }
 
-/// Why there is no report.
+/// Reasons why no report was received.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum ControlError {
-    /// Another upstream listens there: this one is gone.
+    /// Another upstream listens at the address, so the target has crashed or left.
     #[error("another upstream listens there")]
     Gone,
-    /// No answer in time.
+    /// No answer within the timeout.
     #[error("the upstream is silent: {0}")]
-    Silent(String),
-    /// The answer cannot be read.
+    NoAnswer(String),
+    /// The answer cannot be parsed.
     #[error("the report cannot be read: {0}")]
     Malformed(String),
 }
 
-/// A client of the upstreams' control side. One call each, no retries.
+/// Client for the control interface of upstreams. Each method makes one call, without retries.
 #[allow(async_fn_in_trait)]
 pub trait UpstreamControl {
-    /// Time for a report.
-    const REPORT_TIME: Duration;
-    /// Time for the answer to an order.
-    const ORDER_TIME: Duration;
+    /// Timeout of a report request.
+    const REPORT_TIMEOUT: Duration;
+    /// Timeout of an order.
+    const ORDER_TIMEOUT: Duration;
 
-    /// Asks for a report.
+    /// Requests a report.
     ///
     /// # Errors
     /// See [`ControlError`].
     async fn report(&self, target: &UpstreamTarget) -> Result<UpstreamReport, ControlError>;
 
-    /// Gives an order.
+    /// Sends an order.
     async fn order(&self, request: &OrderRequest) -> OrderOutcome;
 }
--- a/crates/ports/src/directory.rs
+++ b/crates/ports/src/directory.rs
@@ -1,67 +1,67 @@
-//! The upstreams there are, as they register themselves.
+//! The directory in which upstreams register themselves.
 
 use std::net::SocketAddr;
 
 use bergamot_types::prelude::*;
 
-/// Whether an upstream takes new work.
+/// Whether an upstream accepts new requests.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum UpstreamState {
-    /// It does.
+    /// It accepts new requests.
     Ready,
-    /// It is leaving.
+    /// It is leaving and accepts no new requests.
     Draining,
 }
 
-/// How far a member is in its group.
+/// State of a member in its group.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum MemberState {
-    /// It joins: it may be loading weights.
+    /// It is joining and may be loading weights.
     Joining,
     /// It has joined.
     Ready,
-    /// It leads the group and takes requests.
+    /// It leads the group and accepts requests.
     Open,
-    /// It leads the group and ends what is in flight.
+    /// It leads the group and finishes its requests in flight.
     Closing,
-    /// It led the group, which lost a member.
+    /// It led the group until the group lost a member.
     Broken,
 }
 
-/// The group an upstream says it belongs to.
+/// The group membership that an upstream advertises.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct GroupMembership {
     /// The group.
     pub group: GroupId,
-    /// Which list of members it joined under.
+    /// The version of the member list under which it joined.
     pub epoch: u64,
-    /// Its place in that list; 0 leads.
+    /// Its position in that list; 0 is the leader.
     pub rank: usize,
-    /// How far it is.
+    /// Its state in the group.
     pub state: MemberState,
 }
 
-/// One upstream's own entry in the directory.
+/// The directory entry that an upstream writes for itself.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct UpstreamEntry {
-    /// Which run of the upstream wrote it.
+    /// The incarnation that wrote the entry.
     pub incarnation: UpstreamIncarnation,
     /// The service it belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address it listens on.
     pub addr: SocketAddr,
-    /// Where it can be cut off.
+    /// Its failure domain.
     pub failure_domain: FailureDomain,
-    /// Where replicas of a model can be formed; none for a plain service.
+    /// Its fabric domain, within which replicas of a model are formed; none for a plain service.
     pub fabric: Option<FabricDomain>,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: UpstreamState,
-    /// Requests it runs at once.
+    /// Number of requests it runs concurrently.
     pub slots: u32,
-    /// Models whose weights are on its host.
+    /// Models whose weights are staged on its host.
     pub staged: Vec<ModelName>,
     /// Models it can run now.
     pub models: Vec<ModelName>,
-    /// The group it belongs to.
+    /// The group it is a member of.
     pub membership: Option<GroupMembership>,
 }
--- a/crates/ports/src/lib.rs
+++ b/crates/ports/src/lib.rs
@@ -1,6 +1,7 @@
-//! What the serving path needs from whatever platform it runs on.
+//! Interfaces through which the serving path uses the platform it runs on.
 //!
-//! Types in the product's words and narrow traits; nothing here knows a platform's names.
+//! The types use the terms of this project and the traits are narrow; nothing here depends on the names
+//! of a platform.
 //!
 //! | port | trait |
 //! | --- | --- |
--- a/crates/ports/src/set.rs
+++ b/crates/ports/src/set.rs
@@ -1,27 +1,27 @@
-//! All ports of one platform.
+//! The complete set of ports of a platform.
 
 use crate::call::CallerDialect;
 use crate::catalog::StoreCatalog;
 use crate::control::UpstreamControl;
 use crate::store::StateStore;
 
-/// Makes the ports of one platform. Each duty makes its own, on its thread.
+/// Creates the ports of a platform. Each duty creates its own set on its own thread.
 pub trait PortSet: Clone + Send + 'static {
-    /// The state store.
+    /// The state store client.
     type Store: StateStore + 'static;
-    /// The reader of configuration and directory.
+    /// The reader of the configuration and the directory.
     type Catalog: StoreCatalog + 'static;
-    /// The control side of upstreams.
+    /// The client for the control interface of upstreams.
     type Control: UpstreamControl + 'static;
-    /// The callers' dialect.
+    /// The translator of caller requests.
     type Dialect: CallerDialect + 'static;
 
-    /// A client of the store.
+    /// Creates a store client.
     fn store(&self) -> Self::Store;
-    /// A reader of its entries.
+    /// Creates a reader of store entries.
     fn catalog(&self) -> Self::Catalog;
-    /// A client of the upstreams' control side.
+    /// Creates a client for the control interface of upstreams.
     fn control(&self) -> Self::Control;
-    /// The dialect.
+    /// Creates a translator of caller requests.
     fn dialect(&self) -> Self::Dialect;
 }
--- a/crates/ports/src/site.rs
+++ b/crates/ports/src/site.rs
@@ -1,45 +1,45 @@
-//! Where this process runs and which bounds hold there.
+//! Location of this process and the service bounds that apply there.
 
 use std::net::SocketAddr;
 
 use bergamot_types::prelude::*;
 
-/// Times and ratios that the platform's operators promise their callers.
+/// Times and ratios that the platform's operators guarantee to callers.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct ServingBounds {
-    /// Time after which an upstream that leaves gets no new work.
+    /// Time after which a leaving upstream gets no new requests.
     pub drain_time: Millis,
-    /// Time between the signal to stop and the kill.
+    /// Time between the stop signal and the kill.
     pub stop_grace: Millis,
-    /// Time after which a key that was taken away must not be served; none where only VMs in
-    /// touch with the platform are bound.
+    /// Time after which a revoked key must not be served. If none, the rule binds only VMs that can
+    /// reach the platform.
     pub revoke_time: Option<Millis>,
-    /// Repeats that all entry VMs together may send, as a part of the requests.
+    /// Maximum number of retries of all entry VMs together, as a fraction of the requests.
     pub retry_ratio: f64,
-    /// The window of that part.
+    /// The window over which the fraction is measured.
     pub retry_window: Millis,
-    /// Repeats allowed in a window besides.
+    /// Retries allowed per window in addition to the fraction.
     pub retry_reserve: f64,
-    /// Time for which a group that lost a member stands still before it breaks.
+    /// How long a group that lost a member stalls before it breaks.
     pub stall_time: Millis,
 }
 
-/// This process's place.
+/// Identity, addresses and bounds of this process.
 #[derive(Clone, PartialEq, Debug)]
 pub struct VmSite {
-    /// The VM's name.
+    /// The name of the VM.
     pub vm: VmId,
-    /// Where it can be cut off.
+    /// The failure domain of the VM.
     pub failure_domain: FailureDomain,
-    /// Where callers connect.
+    /// The address for callers.
     pub caller_addr: SocketAddr,
-    /// Where the balancer asks whether to send callers here.
+    /// The address of the readiness check by the load balancer.
     pub ready_addr: SocketAddr,
-    /// Where metrics are served.
+    /// The address that serves metrics.
     pub metrics_addr: SocketAddr,
-    /// Thousandths of a core that this VM may use.
+    /// The CPU limit of this VM in thousandths of a core.
     pub millicores: u32,
-    /// Where peers send datagrams, and ask for news by connections.
+    /// The address for datagrams from peers, and for their connections to the update feed.
     pub peer_addr: SocketAddr,
     /// The bounds in force.
     pub bounds: ServingBounds,
--- a/crates/ports/src/store.rs
+++ b/crates/ports/src/store.rs
@@ -11,26 +11,26 @@
     pub key: String,
     /// The value.
     pub value: Vec<u8>,
-    /// The store's revision of the last write.
+    /// The store revision of the last write.
     pub revision: u64,
 }
 
-/// One change that a watch reports.
+/// A change that a watch reports.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum StoreEvent {
     /// The key was written.
     Written(StoreItem),
-    /// The key was removed, at this revision.
+    /// The key was removed.
     Removed {
         /// The key.
         key: String,
-        /// The store's revision of the removal.
+        /// The store revision of the removal.
         revision: u64,
     },
 }
 
 impl StoreEvent {
-    /// The key.
+    /// Returns the key.
     pub fn key(&self) -> &str {
         match self {
             Self::Written(item) => &item.key,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The store's revision of the change.
+    /// Returns the store revision of the change.
     pub fn revision(&self) -> u64 {
         match self {
             Self::Written(item) => item.revision,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The same change without its value, for one that is too long to pass on.
+    /// Returns the change with an empty value, for a value that is too large to send to peers.
     #[must_use]
     pub fn without_value(self) -> Self {
         match self {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Bytes of the value; a removal has none.
+    /// Returns the size of the value in bytes; 0 for a removal.
     pub fn value_len(&self) -> usize {
         match self {
             Self::Written(item) => item.value.len(),
@@ -67,104 +67,105 @@
     }
 }
 
-/// All items below a prefix.
+/// All items under a key prefix.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct StoreRange {
-    /// The items, in the order of their keys.
+    /// The items in key order.
     pub items: Vec<StoreItem>,
-    /// The revision to watch from: the lowest one that any page was read at.
+    /// The revision to start a watch from: the lowest one at which a page was read.
     pub revision: u64,
 }
 
-/// What a watch came to.
+/// Outcome of a watch.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum WatchOutcome {
-    /// Changes in order, none when the wait ran out.
+    /// Changes in order of revision; empty if the wait timed out.
     Changes {
         /// The changes.
         events: Vec<StoreEvent>,
-        /// The revision to go on from.
+        /// The revision to continue from.
         revision: u64,
     },
-    /// The store no longer has the changes since then: read the range again.
-    HistoryGone,
+    /// The store has compacted the changes since that revision: read the range again.
+    Compacted,
 }
 
-/// A condition of a transaction: the key's last write is still this one; 0 means no such key.
+/// A condition of a transaction: the key was last written at this revision. 0 requires that the key does
+/// not exist.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct KeyCondition {
     /// The key.
     pub key: String,
-    /// Its revision.
+    /// The required revision.
     pub revision: u64,
 }
 
-/// A write of a transaction.
+/// A write in a transaction.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct KeyWrite {
     /// The key.
     pub key: String,
     /// The value.
     pub value: Vec<u8>,
-    /// The lease it ends with; 0 for none.
+    /// The lease that the key expires with; 0 for none.
     pub lease: u64,
 }
 
-/// A transaction: all or nothing.
+/// A transaction, which takes effect as a whole or not at all.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct StoreTxn {
-    /// What must hold.
+    /// Conditions that must all hold.
     pub conditions: Vec<KeyCondition>,
-    /// What is written.
+    /// Keys to write.
     pub writes: Vec<KeyWrite>,
-    /// Keys that are removed.
+    /// Keys to remove.
     pub removes: Vec<String>,
 }
 
-/// What a transaction came to.
+/// Outcome of a transaction.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum TxnOutcome {
-    /// Done, at this revision.
+    /// The transaction was committed at this revision.
     Done(u64),
-    /// A condition failed: the keys of the conditions that exist, as they are now.
+    /// A condition failed. Holds the current items of those condition keys that exist.
     Conflict(Vec<StoreItem>),
-    /// A lease of a write has ended.
+    /// The lease of a write has expired.
     LeaseGone,
 }
 
-/// Why a call to the store gave no result. The kinds differ in what may be done next.
+/// Reasons why a store call failed. They differ in what the caller may do next.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum StoreError {
-    /// Nothing was done.
+    /// The store rejected the call with this HTTP status; nothing was done.
     #[error("the store refused the call: status {0}")]
     Refused(u16),
-    /// No connection, so nothing was done.
+    /// No connection could be opened, so nothing was done.
     #[error("no connection to the store: {0}")]
     NotSent(String),
-    /// The call may have been done, or may yet be.
+    /// No answer: the call may have been executed, or may still be.
     #[error("no answer from the store: {0}")]
     Unknown(String),
-    /// The answer cannot be read.
+    /// The answer cannot be parsed.
     #[error("the store's answer cannot be read: {0}")]
     Malformed(String),
 }
 
-/// A client of the store. One call each, no retries.
+/// Client for the store. Each method makes its calls without retries.
 #[allow(async_fn_in_trait)]
 pub trait StateStore {
-    /// Reads one key.
+    /// Reads a key.
     ///
     /// # Errors
     /// See [`StoreError`].
     async fn get(&self, key: &str) -> Result<Option<StoreItem>, StoreError>;
 
-    /// Reads every key below a prefix, page by page.
+    /// Reads all keys under a prefix, page by page.
     ///
     /// # Errors
-    /// See [`StoreError`]; the first page that fails ends it.
+    /// See [`StoreError`]; the first page that fails aborts the read.
     async fn range(&self, prefix: &str) -> Result<StoreRange, StoreError>;
 
-    /// Waits for changes below a prefix after a revision.
+    /// Waits for changes under a prefix after a revision.
     ///
     /// # Errors
     /// See [`StoreError`].
@@ -175,10 +176,11 @@
         wait: Duration,
     ) -> Result<WatchOutcome, StoreError>;
 
-    /// Makes a transaction.
+    /// Commits a transaction.
     ///
     /// # Errors
-    /// After [`StoreError::Unknown`] it may be done later: read before deciding.
+    /// After [`StoreError::Unknown`] the transaction may still be committed later: read the keys before
+    /// deciding.
     async fn commit(&self, txn: &StoreTxn) -> Result<TxnOutcome, StoreError>;
 
     /// Opens a lease.
@@ -187,18 +189,18 @@
     /// See [`StoreError`].
     async fn open_lease(&self, ttl: Duration) -> Result<u64, StoreError>;
 
-    /// Renews a lease; false when it has ended.
+    /// Renews a lease. Returns false if it has expired.
     ///
     /// # Errors
     /// See [`StoreError`].
     async fn renew_lease(&self, lease: u64) -> Result<bool, StoreError>;
 
-    /// Ends a lease and with it its keys.
+    /// Revokes a lease, which removes its keys.
     ///
     /// # Errors
     /// See [`StoreError`].
-    async fn end_lease(&self, lease: u64) -> Result<(), StoreError>;
+    async fn revoke_lease(&self, lease: u64) -> Result<(), StoreError>;
 
-    /// Drops the connections that are kept, after a call that was not answered.
+    /// Closes pooled connections after a call that was not answered.
     fn reset(&self);
 }
