--- a/crates/feed/src/freshness.rs
+++ b/crates/feed/src/freshness.rs
@@ -8,29 +8,24 @@
     /// The latest time at which the store held nothing newer than the known state.
     current_at: Millis,
     /// A store revision that was observed at a later time and is not known locally yet.
-    pending_revision: Option<(u64, Millis)>,
+    pending: Option<(u64, Millis)>,
 }
 
 impl Freshness {
-    /// Records that a call started at `call_started_at` reported the store at `revision`, while
+    /// Records that a call started at `started_at` reported the store at `revision`, while
     /// everything up to `known` is known locally.
-    pub fn observe_store(&mut self, revision: u64, known: u64, call_started_at: Millis) {
+    pub fn observe_store(&mut self, revision: u64, known: u64, started_at: Millis) {
         match revision <= known {
-            true => self.mark_current(call_started_at),
-            false if self.pending_revision.is_none() => {
-                self.pending_revision = Some((revision, call_started_at))
-            }
+            true => self.mark_current(started_at),
+            false if self.pending.is_none() => self.pending = Some((revision, started_at)),
             false => {}
         }
     }
 
     /// Records that everything up to `known` is known locally now.
     pub fn observe_known(&mut self, known: u64) {
-        if let Some((_, call_started_at)) = self
-            .pending_revision
-            .take_if(|(revision, _)| *revision <= known)
-        {
-            self.mark_current(call_started_at);
+        if let Some((_, started_at)) = self.pending.take_if(|(revision, _)| *revision <= known) {
+            self.mark_current(started_at);
         }
     }
 
--- a/crates/feed/src/lib.rs
+++ b/crates/feed/src/lib.rs
@@ -1,7 +1,7 @@
 //! Update feed through which entry VMs pass store updates to each other.
 //!
-//! One VM in each failure domain reads the store. The others query it, and read the store themselves
-//! when it has no current updates. This crate does no I/O and reads no clock.
+//! One VM in each failure domain reads the store. The others query it, and read the store
+//! themselves when it has no current updates. This crate does no I/O and reads no clock.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/feed/src/source.rs
+++ b/crates/feed/src/source.rs
@@ -63,8 +63,8 @@
 }
 
 impl PeerRanking {
-    /// Ranks the peers in the failure domain of this VM, `own`. VMs with the most CPU come first, as
-    /// the first ones answer the others.
+    /// Ranks the peers in the failure domain of this VM, `own`. VMs with the most CPU come first,
+    /// as the first ones answer the others.
     pub fn rank_peers<Peers>(&mut self, peers: Peers, own: &PeerDescriptor)
     where
         Peers: IntoIterator<Item = PeerDescriptor>,
@@ -89,7 +89,8 @@
             self.fallback.append(&mut self.preferred);
             return;
         }
-        // Rotates the readers so that each one is the first choice of an equal share of the other VMs.
+        // Rotates the readers so that each one is the first choice of an equal share of the other
+        // VMs.
         self.preferred[..reader_count].rotate_left(own_rank % reader_count);
     }
 
--- a/crates/feed/src/table.rs
+++ b/crates/feed/src/table.rs
@@ -6,8 +6,8 @@
 use indexmap::IndexMap;
 
 /// Maximum number of removals kept: several times what a fleet of 600 upstreams writes while a peer
-/// is disconnected for a second. Older removals are dropped, and a peer that lacks them requests the
-/// whole state again.
+/// is disconnected for a second. Older removals are dropped, and a peer that lacks them requests
+/// the whole state again.
 const MAX_REMOVALS: usize = 4_096;
 
 /// Target size of a batch in bytes of keys and values, so that a burst blocks neither a slow link
--- a/crates/feed/tests/feed.rs
+++ b/crates/feed/tests/feed.rs
@@ -214,20 +214,18 @@
         .iter()
         .map(|vm| descriptor(vm, "east", 120))
         .collect();
-    let mut followers_by_reader = std::collections::BTreeMap::<String, usize>::new();
+    let mut followers = std::collections::BTreeMap::<String, usize>::new();
     let mut reader_count = 0;
     for own in &peers {
         let mut ranking = PeerRanking::default();
         ranking.rank_peers(peers.clone(), own);
         match ranking.source(false, Millis(0)) {
             UpdateSource::Store => reader_count += 1,
-            UpdateSource::Peers(peers) => {
-                *followers_by_reader.entry(peers[0].clone()).or_default() += 1
-            }
+            UpdateSource::Peers(peers) => *followers.entry(peers[0].clone()).or_default() += 1,
         }
     }
     assert_eq!(reader_count, 3);
-    let follower_counts: Vec<usize> = followers_by_reader.into_values().collect();
+    let follower_counts: Vec<usize> = followers.into_values().collect();
     assert_eq!(follower_counts, [32, 32, 33]);
 }
 
--- a/crates/gateway/src/front/gates.rs
+++ b/crates/gateway/src/front/gates.rs
@@ -10,18 +10,16 @@
 /// Takes in what an upstream's answer says of that. The VM's own clock goes on while it is suspended, as that time does.
 pub fn note_gate<Dialect>(
     front: &FrontContext<Dialect>,
-    incarnation: &UpstreamIncarnation,
+    upstream: &UpstreamIncarnation,
     facts: &ReplyFacts,
 ) {
     match facts.backoff {
         Ok(None) => {}
-        Ok(Some(time)) => note_back_off(front, incarnation, time),
-        Err(error) => {
-            log::warn!("event=back_off_unreadable upstream={incarnation} reason=\"{error}\"")
-        }
+        Ok(Some(time)) => note_back_off(front, upstream, time),
+        Err(err) => log::warn!("event=back_off_unreadable upstream={upstream} reason=\"{err}\""),
     }
     if facts.is_leaving {
-        note_leaving(front, incarnation);
+        note_leaving(front, upstream);
     }
 }
 
--- a/crates/gateway/src/front/limits.rs
+++ b/crates/gateway/src/front/limits.rs
@@ -56,9 +56,7 @@
     let mut answers = Vec::new();
     for action in actions {
         match action {
-            QuotaAction::NoteChange(incarnation, change) => {
-                note_change(front, &incarnation, change)
-            }
+            QuotaAction::NoteChange(upstream, change) => note_change(front, &upstream, change),
             QuotaAction::Tell(report) => front.tell_quota(QuotaNews::Report(report)),
             QuotaAction::HoldBack {
                 incarnation,
--- a/crates/occupancy/src/counts.rs
+++ b/crates/occupancy/src/counts.rs
@@ -4,8 +4,8 @@
 use bergamot_types::prelude::*;
 use indexmap::IndexMap;
 
-/// Returns the hash that stands for a leader's incarnation in datagrams. With 400 leaders, two of them
-/// collide in 1 of 50,000 fleets.
+/// Returns the hash that stands for a leader's incarnation in datagrams. With 400 leaders, two of
+/// them collide in 1 of 50,000 fleets.
 pub fn leader_key(leader: &UpstreamIncarnation) -> u32 {
     let started_at = leader.started_at.unwrap_or_default();
     rendezvous_score(started_at.0, leader.as_str()) as u32
--- a/crates/occupancy/src/relay.rs
+++ b/crates/occupancy/src/relay.rs
@@ -15,8 +15,8 @@
 }
 
 impl OccupancyState {
-    /// Returns the hops of a notice that originates here: to the collector, or to all VMs if this VM is
-    /// a collector.
+    /// Returns the hops of a notice that originates here: to the collector, or to all VMs if this
+    /// VM is a collector.
     pub fn origin_hops(&self, now: Millis) -> Vec<RelayHop> {
         match self.collector(now) {
             Some(collector) => vec![RelayHop {
--- a/crates/occupancy/src/state.rs
+++ b/crates/occupancy/src/state.rs
@@ -7,8 +7,8 @@
 
 use crate::counts::{LeaderCounts, LeaderLoad};
 
-/// Time between two load reports. A leader of a busy model gets 10 to 15 requests a second, so it gets
-/// one or two before other VMs know of a request.
+/// Time between two load reports. A leader of a busy model gets 10 to 15 requests a second, so it
+/// gets one or two before other VMs know of a request.
 pub const LOAD_REPORT_PERIOD: Millis = Millis(50);
 /// How long reported counts are valid. Covers the loss of a few datagrams.
 const REPORT_VALIDITY: Millis = Millis(300);
@@ -65,8 +65,8 @@
     domain_reports: IndexMap<FailureDomain, ReportedCounts>,
     /// The sum over all other VMs, as the collector reported it.
     others_report: Option<ReportedCounts>,
-    /// On a collector: the sum of its own requests in flight and all reported ones. Cached, as summing
-    /// anew for each reply would be quadratic in the number of VMs.
+    /// On a collector: the sum of its own requests in flight and all reported ones. Cached, as
+    /// summing anew for each reply would be quadratic in the number of VMs.
     fleet_total: LeaderCounts,
     /// When `fleet_total` was last summed anew.
     fleet_total_at: Millis,
@@ -93,8 +93,8 @@
         }
     }
 
-    /// Replaces the set of known entry VMs. The VM with the most CPU in each failure domain becomes its
-    /// collector.
+    /// Replaces the set of known entry VMs. The VM with the most CPU in each failure domain becomes
+    /// its collector.
     pub fn set_peers<Peers>(&mut self, peers: Peers)
     where
         Peers: IntoIterator<Item = PeerDescriptor>,
@@ -268,8 +268,8 @@
         }
     }
 
-    /// Records the report of a VM that uses this one as its collector, and replies with the sum over all
-    /// other VMs.
+    /// Records the report of a VM that uses this one as its collector, and replies with the sum
+    /// over all other VMs.
     fn record_member(&mut self, now: Millis, reported: ReportedCounts) -> OccupancyAction {
         let vm = reported.vm.clone();
         if now.since(self.fleet_total_at) >= REPORT_VALIDITY {
--- a/crates/occupancy/tests/load_reports.rs
+++ b/crates/occupancy/tests/load_reports.rs
@@ -1,5 +1,5 @@
-//! Tests of what entry VMs know about each other's requests: with all datagrams delivered, with lost
-//! ones, and with collectors down.
+//! Tests of what entry VMs know about each other's requests: with all datagrams delivered, with
+//! lost ones, and with collectors down.
 
 use bergamot_feed::PeerDescriptor;
 use bergamot_occupancy::{
@@ -154,8 +154,8 @@
     }
 }
 
-/// Guards against routing by expired reports: a VM that receives no reports must not count old ones,
-/// and must say that the remote load is unknown.
+/// Guards against routing by expired reports: a VM that receives no reports must not count old
+/// ones, and must say that the remote load is unknown.
 #[test]
 fn expired_reports_are_not_counted() {
     let mut fleet = Fleet::new(8, 2);
--- a/crates/ports/src/call.rs
+++ b/crates/ports/src/call.rs
@@ -63,11 +63,11 @@
     pub is_signed: bool,
     /// Seconds for which the upstream keeps an idle connection open, if it advertises that.
     pub keep_alive: Option<u64>,
-    /// Requests per second that the upstream accepts from all entry VMs together; none if it advertises no
-    /// limit.
+    /// Requests per second that the upstream accepts from all entry VMs together; none if it
+    /// advertises no limit.
     pub send_limit: Result<Option<SendRate>, RateError>,
-    /// How long this VM has to back off from an upstream that rejected the request; none if the upstream
-    /// advertises no time.
+    /// How long this VM has to back off from an upstream that rejected the request; none if the
+    /// upstream advertises no time.
     pub backoff: Result<Option<Millis>, SpanError>,
     /// Whether the upstream advertises that it is leaving.
     pub is_leaving: bool,
--- a/crates/ports/src/catalog.rs
+++ b/crates/ports/src/catalog.rs
@@ -6,8 +6,8 @@
 use crate::directory::UpstreamEntry;
 use crate::store::StoreItem;
 
-/// Maximum size of an upstream's entry in bytes: sixteen times what upstreams write. Entry VMs do not
-/// send larger values to each other, as these come from another writer.
+/// Maximum size of an upstream's entry in bytes: sixteen times what upstreams write. Entry VMs do
+/// not send larger values to each other, as these come from another writer.
 pub const MAX_ENTRY_BYTES: usize = 16 << 10;
 
 /// An item that cannot be parsed.
--- a/crates/ports/src/control.rs
+++ b/crates/ports/src/control.rs
@@ -10,8 +10,9 @@
 /// The upstream to query or to send an order to.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct UpstreamTarget {
-    /// The incarnation of the upstream. Another upstream at the same address rejects the call. A later
-    /// incarnation of the same upstream may accept it; the number of orders begun tells them apart.
+    /// The incarnation of the upstream. Another upstream at the same address rejects the call. A
+    /// later incarnation of the same upstream may accept it; the number of orders begun tells them
+    /// apart.
     pub incarnation: UpstreamIncarnation,
     /// The address it listens on.
     pub addr: SocketAddr,
@@ -113,10 +114,11 @@
     pub target: UpstreamTarget,
     /// The order.
     pub order: GroupOrder,
-    /// The coordinator's fencing number. Upstreams reject numbers below the highest one they have seen.
+    /// The coordinator's fencing number. Upstreams reject numbers below the highest one they have
+    /// seen.
     pub fence: u64,
-    /// Number of orders that the upstream must have begun so far. It rejects the order on a mismatch, so
-    /// that an order that is delivered late has no effect.
+    /// Number of orders that the upstream must have begun so far. It rejects the order on a
+    /// mismatch, so that an order that is delivered late has no effect.
     pub expected: Option<u64>,
 }
 
@@ -133,13 +135,13 @@
     Fenced,
     /// The upstream does not know the order or cannot parse it. Holds the HTTP status.
     Refused(u16),
-    /// Another upstream listens at the address, so the target has crashed or left. A refused connection
-    /// is no proof of that, as a partition may also refuse connections.
+    /// Another upstream listens at the address, so the target has crashed or left. A refused
+    /// connection is no proof of that, as a partition may also refuse connections.
     Gone,
     /// No answer: the upstream may have begun the order, or may still begin it.
     Unknown(String),
-    /// As [`OrderOutcome::Unknown`], but this process was paused while it waited or before it sent the
-    /// order, so the missing answer says nothing about the upstream.
+    /// As [`OrderOutcome::Unknown`], but this process was paused while it waited or before it sent
+    /// the order, so the missing answer says nothing about the upstream.
     Unheard,
 }
 
--- a/crates/ports/src/lib.rs
+++ b/crates/ports/src/lib.rs
@@ -1,7 +1,7 @@
 //! Interfaces through which the serving path uses the platform it runs on.
 //!
-//! The types use the terms of this project and the traits are narrow; nothing here depends on the names
-//! of a platform.
+//! The types use the terms of this project and the traits are narrow; nothing here depends on the
+//! names of a platform.
 //!
 //! | port | trait |
 //! | --- | --- |
@@ -17,7 +17,7 @@
 pub mod config;
 pub mod control;
 pub mod directory;
-pub mod set;
+pub mod port_set;
 pub mod site;
 pub mod store;
 
@@ -32,7 +32,7 @@
     UpstreamTarget,
 };
 pub use directory::{GroupMembership, MemberState, UpstreamEntry, UpstreamState};
-pub use set::PortSet;
+pub use port_set::PortSet;
 pub use site::{ServingBounds, VmSite};
 pub use store::{
     KeyCondition, KeyWrite, StateStore, StoreError, StoreEvent, StoreItem, StoreRange, StoreTxn,
--- a/crates/ports/src/store.rs
+++ b/crates/ports/src/store.rs
@@ -90,8 +90,8 @@
     Compacted,
 }
 
-/// A condition of a transaction: the key was last written at this revision. 0 requires that the key does
-/// not exist.
+/// A condition of a transaction: the key was last written at this revision. 0 requires that the key
+/// does not exist.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct KeyCondition {
     /// The key.
@@ -179,8 +179,8 @@
     /// Commits a transaction.
     ///
     /// # Errors
-    /// After [`StoreError::Unknown`] the transaction may still be committed later: read the keys before
-    /// deciding.
+    /// After [`StoreError::Unknown`] the transaction may still be committed later: read the keys
+    /// before deciding.
     async fn commit(&self, txn: &StoreTxn) -> Result<TxnOutcome, StoreError>;
 
     /// Opens a lease.
--- a/crates/types/src/hash.rs
+++ b/crates/types/src/hash.rs
@@ -7,8 +7,8 @@
     XxHash3_64::oneshot(bytes)
 }
 
-/// Returns the rendezvous hashing score of `node` for `key`; the node with the highest score owns the
-/// key.
+/// Returns the rendezvous hashing score of `node` for `key`; the node with the highest score owns
+/// the key.
 pub fn rendezvous_score(key: u64, node: &str) -> u64 {
     XxHash3_64::oneshot_with_seed(key, node.as_bytes())
 }
--- a/crates/types/src/rate.rs
+++ b/crates/types/src/rate.rs
@@ -5,8 +5,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Requests per second, stored in thousandths. Finer digits are truncated, so that a parsed rate never
-/// exceeds the stated one.
+/// Requests per second, stored in thousandths. Finer digits are truncated, so that a parsed rate
+/// never exceeds the stated one.
 #[derive(
     Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Debug, Serialize, Deserialize,
 )]
@@ -51,8 +51,8 @@
 impl FromStr for SendRate {
     type Err = RateError;
 
-    /// Parses a decimal number of requests per second. A rate that exceeds the range becomes the largest
-    /// one.
+    /// Parses a decimal number of requests per second. A rate that exceeds the range becomes the
+    /// largest one.
     fn from_str(text: &str) -> Result<Self, RateError> {
         let text = text.trim();
         if text.is_empty() {
--- a/crates/types/src/time.rs
+++ b/crates/types/src/time.rs
@@ -52,8 +52,8 @@
 }
 
 impl Millis {
-    /// Parses a decimal number of seconds. Rounds up, so that the result is never shorter than the text
-    /// states. A span that exceeds the range becomes the longest one.
+    /// Parses a decimal number of seconds. Rounds up, so that the result is never shorter than the
+    /// text states. A span that exceeds the range becomes the longest one.
     ///
     /// # Errors
     /// See [`SpanError`].
