--- a/crates/gateway/tests/standstill.rs
+++ b/crates/gateway/tests/standstill.rs
@@ -3,20 +3,20 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
+use bergamot_feed::PeerDescriptor;
 use bergamot_gateway::flight::FlightGuard;
-use bergamot_news::PeerPlace;
 use bergamot_routing::UpstreamBook;
 use bergamot_types::prelude::*;
 
 #[test]
 fn a_request_that_only_waits_says_nothing_about_its_group() {
-    let place = PeerPlace {
+    let place = PeerDescriptor {
         vm: "vm-1".to_owned(),
         failure_domain: FailureDomain::new("east"),
         millicores: 250,
     };
     let book = Rc::new(RefCell::new(UpstreamBook::new(place)));
-    let leader = UpstreamLife::new(UpstreamId::new("leader"), None);
+    let leader = UpstreamIncarnation::new(UpstreamId::new("leader"), None);
     let enter = |at| FlightGuard::enter(&book, &leader, None, 100, Millis(at));
     let has_begun = || book.borrow().load(&leader).has_begun();
 
--- a/crates/load/src/experiment/serving/run.rs
+++ b/crates/load/src/experiment/serving/run.rs
@@ -3,8 +3,8 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use bergamot_news::PeerPlace;
-use bergamot_occupancy::{OccupancyAction, OccupancyEvent, TELL_PERIOD};
+use bergamot_feed::PeerDescriptor;
+use bergamot_occupancy::{LOAD_REPORT_PERIOD, OccupancyAction, OccupancyEvent};
 use bergamot_peer::LoadNotice;
 use bergamot_routing::{ReturnTimes, RouteUpstream, UpstreamAsk, UpstreamBook, UpstreamChoice};
 use bergamot_types::prelude::*;
@@ -68,7 +68,10 @@
     }
     if case.is_told {
         for vm in 0..case.vms {
-            run.at(vm as u64 * TELL_PERIOD.0 / case.vms as u64, Event::Tick(vm));
+            run.at(
+                vm as u64 * LOAD_REPORT_PERIOD.0 / case.vms as u64,
+                Event::Tick(vm),
+            );
         }
     }
     run.play();
@@ -85,13 +88,16 @@
 
 impl ServingRun {
     fn new(case: ServingCase) -> Self {
-        let place = |vm: usize| PeerPlace {
+        let place = |vm: usize| PeerDescriptor {
             vm: vm_name(vm),
             failure_domain: domain_of(vm),
             millicores: 250,
         };
         let pool = (0..case.leaders).map(|leader| RouteUpstream {
-            life: UpstreamLife::new(UpstreamId::from(format!("leader-{leader}")), None),
+            incarnation: UpstreamIncarnation::new(
+                UpstreamId::from(format!("leader-{leader}")),
+                None,
+            ),
             addr: ([127, 0, 0, 1], 1).into(),
             failure_domain: domain_of(leader),
             slots: case.slots,
@@ -220,10 +226,13 @@
         let UpstreamChoice::Chosen(chosen) = choice else {
             return self.refuse(number);
         };
-        let life = chosen.life.clone();
-        let leader = self.pool.iter().position(|it| it.life == life);
+        let incarnation = chosen.incarnation.clone();
+        let leader = self
+            .pool
+            .iter()
+            .position(|it| it.incarnation == incarnation);
         request.leader = leader.unwrap_or(0);
-        self.books[vm].note_sent(&life, None, request.prompt, Millis(self.now));
+        self.books[vm].note_sent(&incarnation, None, request.prompt, Millis(self.now));
         self.at(WAY, Event::Reach(number));
     }
 
@@ -268,7 +277,7 @@
         let kind = self.kind(number);
         let now = self.now;
         let request = &mut self.requests[number];
-        let life = &self.pool[request.leader].life;
+        let incarnation = &self.pool[request.leader].incarnation;
         let book = &mut self.books[request.vm];
         if request.has_begun {
             request.is_late |= now - request.last_at > kind.pause.0;
@@ -276,15 +285,21 @@
             request.has_begun = true;
             let took = Millis(now - request.tried_at);
             request.is_late |= took > kind.objective;
-            book.note_begun(life, request.prompt);
-            book.note_first(life, self.case.slots, took, kind.objective, Millis(now));
+            book.note_begun(incarnation, request.prompt);
+            book.note_first(
+                incarnation,
+                self.case.slots,
+                took,
+                kind.objective,
+                Millis(now),
+            );
         }
         request.last_at = now;
-        book.note_progress(life, Millis(now));
+        book.note_progress(incarnation, Millis(now));
         if !is_last {
             return;
         }
-        book.note_ended(life, true, request.prompt);
+        book.note_ended(incarnation, true, request.prompt);
         let took = Millis(now - request.tried_at);
         self.returns[request.vm].note_answer(&self.model, took);
         let result = &mut self.result.kinds[kind.name];
@@ -296,7 +311,7 @@
     }
 
     fn tick(&mut self, vm: usize) {
-        self.at(TELL_PERIOD.0, Event::Tick(vm));
+        self.at(LOAD_REPORT_PERIOD.0, Event::Tick(vm));
         let in_flight = self.books[vm].in_flight();
         let event = OccupancyEvent::Tick(in_flight);
         let actions = self.books[vm].occupancy.handle(Millis(self.now), event);
@@ -313,7 +328,7 @@
         for action in actions {
             let vm = (0..self.case.vms).find(|vm| vm_name(*vm) == action.vm);
             if let Some(vm) = vm {
-                self.at(WAY, Event::Notice(vm, action.notice));
+                self.at(WAY, Event::Notice(vm, action.report));
             }
         }
     }
--- a/crates/ports/src/lib.rs
+++ b/crates/ports/src/lib.rs
@@ -1,6 +1,7 @@
-//! What the serving path needs from whatever platform it runs on.
+//! Interfaces through which the serving path uses the platform it runs on.
 //!
-//! Types in the product's words and narrow traits; nothing here knows a platform's names.
+//! The types use the terms of this project and the traits are narrow; nothing here depends on the
+//! names of a platform.
 //!
 //! | port | trait |
 //! | --- | --- |
@@ -16,7 +17,7 @@
 pub mod config;
 pub mod control;
 pub mod directory;
-pub mod set;
+pub mod port_set;
 pub mod site;
 pub mod store;
 
@@ -31,7 +32,7 @@
     UpstreamTarget,
 };
 pub use directory::{GroupMembership, MemberState, UpstreamEntry, UpstreamState};
-pub use set::PortSet;
+pub use port_set::PortSet;
 pub use site::{ServingBounds, VmSite};
 pub use store::{
     KeyCondition, KeyWrite, StateStore, StoreError, StoreEvent, StoreItem, StoreRange, StoreTxn,
--- a/crates/routing/src/upstream.rs
+++ b/crates/routing/src/upstream.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, PartialEq, Debug)]
 pub struct RouteUpstream {
     /// Which run of it.
-    pub life: UpstreamLife,
+    pub incarnation: UpstreamIncarnation,
     /// Where it listens.
     pub addr: SocketAddr,
     /// Where it can be cut off.
@@ -33,7 +33,7 @@
     pub(crate) fn first_event_ms(&self, load: LeaderLoad, prompt: u32) -> Option<f64> {
         let speed = self.speed?;
         let running = load.requests.min(self.slots);
-        let reading = f64::from(load.unread + prompt) / speed.tokens_per_ms;
+        let reading = f64::from(load.pending_prompt_tokens + prompt) / speed.tokens_per_ms;
         Some(speed.pass_ms(f64::from(running)) * FIRST_PASSES + reading)
     }
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,14 +1,14 @@
-//! Ids, units, error kinds and invariants shared by every crate of bergamotstep.
+//! Ids, units, error kinds and invariants shared by all crates of bergamotstep.
 //!
-//! Nothing here does I/O, reads a clock or owns a source of random numbers.
+//! This crate does no I/O, reads no clock and owns no random number generator.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
 pub mod hash;
 pub mod id;
+pub mod incarnation;
 pub mod invariant;
 pub mod kind;
-pub mod life;
 pub mod mutate;
 pub mod prelude;
 pub mod rate;
@@ -19,8 +19,8 @@
     AccountToken, ClientAccount, EntryId, FabricDomain, FailureDomain, GroupId, ModelName,
     RequestId, ServiceName, UpstreamId, VmId,
 };
+pub use incarnation::{UnixMillis, UpstreamIncarnation};
 pub use invariant::Invariant;
 pub use kind::{ErrorKind, RanState};
-pub use life::{UnixMillis, UpstreamLife};
 pub use rate::{RateError, SendRate};
 pub use time::{Millis, SpanError};
--- a/crates/types/src/prelude.rs
+++ b/crates/types/src/prelude.rs
@@ -1,12 +1,12 @@
-//! The types nearly every module names.
+//! Types that nearly every module uses.
 
 pub use crate::hash::{hash_bytes, rendezvous_rank, rendezvous_score};
 pub use crate::id::{
     ClientAccount, EntryId, FabricDomain, FailureDomain, GroupId, ModelName, RequestId,
     ServiceName, UpstreamId, VmId,
 };
+pub use crate::incarnation::{UnixMillis, UpstreamIncarnation};
 pub use crate::invariant::Invariant;
 pub use crate::kind::{ErrorKind, RanState};
-pub use crate::life::{UnixMillis, UpstreamLife};
 pub use crate::rate::{RateError, SendRate};
 pub use crate::time::{Millis, SpanError};
