--- a/crates/entry/src/control/evidence.rs
+++ b/crates/entry/src/control/evidence.rs
@@ -168,7 +168,7 @@
             self.reports.swap_remove(&vm);
             self.drop_news_of(&vm);
             if let Some(placement) = self.placement_of(&vm) {
-                placement.handle(now, PlacementEvent::Silent { vm, asked });
+                placement.handle(now, PlacementEvent::Unanswered { vm, asked });
             }
             return;
         };
--- a/crates/load/src/experiment/fabric.rs
+++ b/crates/load/src/experiment/fabric.rs
@@ -89,7 +89,7 @@
                     asked: now,
                     report: lab.report.clone(),
                 },
-                false => PlacementEvent::Silent {
+                false => PlacementEvent::Unanswered {
                     vm: vm.clone(),
                     asked: now,
                 },
--- a/crates/placement/src/event.rs
+++ b/crates/placement/src/event.rs
@@ -53,7 +53,7 @@
         report: EngineReport,
     },
     /// An engine did not answer a question asked at `asked`.
-    Silent {
+    Unanswered {
         /// Whose engine.
         vm: VmId,
         /// When it was asked.
--- a/crates/placement/src/state.rs
+++ b/crates/placement/src/state.rs
@@ -155,7 +155,7 @@
                     view.note_report(asked, report);
                 }
             }
-            PlacementEvent::Silent { vm, asked } => {
+            PlacementEvent::Unanswered { vm, asked } => {
                 if let Some(view) = self.views.get_mut(&vm) {
                     view.note_silence(asked);
                 }
