--- a/crates/entry/src/control/lead.rs
+++ b/crates/entry/src/control/lead.rs
@@ -5,7 +5,7 @@
 use bergamot_placement::quota::model_ref;
 use bergamot_placement::{
     DomainCapacity, GroupPhase, PlacementAction, PlacementEvent, PlacementState, VmListing,
-    WantedModel, share_replicas,
+    WantedModel, distribute_replicas,
 };
 use bergamot_platform::{VmKind, VmState};
 use bergamot_types::prelude::*;
@@ -63,7 +63,7 @@
             return;
         };
         let capacities = self.capacities(now);
-        let shares = share_replicas(&force.document.models, &capacities);
+        let shares = distribute_replicas(&force.document.models, &capacities);
         self.note_forming(now);
         let health = self.stage_health(now, &shares);
         let gate = StageGate::default();
--- a/crates/load/src/experiment/placement.rs
+++ b/crates/load/src/experiment/placement.rs
@@ -4,7 +4,7 @@
 
 use bergamot_placement::{
     DomainCapacity, DomainRecord, GroupPhase, PlacementAction, PlacementEvent, PlacementState,
-    RepairPolicy, SwapOutcome, VmUse, share_replicas,
+    RepairPolicy, SwapOutcome, VmUse, distribute_replicas,
 };
 use bergamot_types::prelude::*;
 use indexmap::IndexMap;
@@ -244,7 +244,7 @@
         let capacities: IndexMap<FabricDomain, DomainCapacity> = (0..self.case.fabrics)
             .map(|fabric| (fabric_name(fabric), self.capacity(fabric)))
             .collect();
-        let mut shares = share_replicas(&self.case.models, &capacities);
+        let mut shares = distribute_replicas(&self.case.models, &capacities);
         (0..self.case.fabrics)
             .map(|fabric| shares.swap_remove(&fabric_name(fabric)).unwrap_or_default())
             .collect()
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -25,7 +25,7 @@
 pub use evidence::{GroupEvidence, group_evidence};
 pub use fence::TermFence;
 pub use options::{PlacementOptions, RepairPolicy};
-pub use quota::{DomainCapacity, WantedModel, share_replicas};
+pub use quota::{DomainCapacity, WantedModel, distribute_replicas};
 pub use record::{DomainRecord, GroupPhase, GroupRecord, ModelRef, VmSlot, VmUse};
 pub use report::{EnginePhase, EngineReport, OrderKind, VmOrder};
 pub use state::PlacementState;
--- a/crates/placement/src/quota.rs
+++ b/crates/placement/src/quota.rs
@@ -47,7 +47,7 @@
 ///
 /// A domain keeps the groups it has as far as they are wanted; the rest go one by one to the
 /// domain with the most room, ties by rendezvous score. Costs models x replicas x domains.
-pub fn share_replicas(
+pub fn distribute_replicas(
     models: &[ModelSpec],
     domains: &IndexMap<FabricDomain, DomainCapacity>,
 ) -> IndexMap<FabricDomain, Vec<WantedModel>> {
