--- a/crates/entry/src/control/evidence.rs
+++ b/crates/entry/src/control/evidence.rs
@@ -221,7 +221,7 @@
         };
         let news = GroupNews {
             epoch,
-            oldest: evidence.oldest,
+            oldest: evidence.oldest_at,
             load: (evidence.running + evidence.queued).min(u32::from(u16::MAX)) as u16,
             is_own: true,
         };
--- a/crates/placement/src/evidence.rs
+++ b/crates/placement/src/evidence.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct GroupEvidence {
     /// When the oldest of its members' reports was asked for.
-    pub oldest: Millis,
+    pub oldest_at: Millis,
     /// Requests its leader reported as running.
     pub running: u32,
     /// Requests its leader reported as queued.
@@ -41,10 +41,10 @@
             return None;
         }
         match evidence.as_mut() {
-            Some(evidence) => evidence.oldest = evidence.oldest.min(*asked),
+            Some(evidence) => evidence.oldest_at = evidence.oldest_at.min(*asked),
             None => {
                 evidence = Some(GroupEvidence {
-                    oldest: *asked,
+                    oldest_at: *asked,
                     running: report.running,
                     queued: report.queued,
                 });
