--- a/crates/entry/src/control/evidence.rs
+++ b/crates/entry/src/control/evidence.rs
@@ -82,7 +82,7 @@
         if has_unknown && self.may_ask(now, "groups") {
             actions.push(ControlAction::AskGroups(from));
         }
-        self.roster_event(now, RosterEvent::Beat(beat.clone()), actions);
+        self.roster_event(now, RosterEvent::Heartbeat(beat.clone()), actions);
     }
 
     /// Notes what a peer saw; true if it saw a group that the records here do not have.
--- a/crates/roster/src/event.rs
+++ b/crates/roster/src/event.rs
@@ -44,7 +44,7 @@
     /// Time passed.
     Tick,
     /// A heartbeat came in.
-    Beat(Heartbeat),
+    Heartbeat(Heartbeat),
     /// The record was read, with whatever is in force now.
     Record(RosterRecord),
     /// The VM list was read: the VMs in it.
--- a/crates/roster/src/state.rs
+++ b/crates/roster/src/state.rs
@@ -121,7 +121,7 @@
     pub fn handle(&mut self, now: Millis, event: RosterEvent) -> Vec<RosterAction> {
         match event {
             RosterEvent::Tick => self.tick(now),
-            RosterEvent::Beat(beat) => self.take_beat(now, &beat),
+            RosterEvent::Heartbeat(beat) => self.take_beat(now, &beat),
             RosterEvent::Record(record) => self.take_record(now, record),
             RosterEvent::Listed(vms) => self.take_list(now, vms),
             RosterEvent::Settled(epoch) => {
--- a/crates/roster/tests/spread.rs
+++ b/crates/roster/tests/spread.rs
@@ -99,7 +99,7 @@
         }
         for (to, beat) in beats {
             let to: usize = to.as_str()[6..].parse().expect("numbered");
-            states[to].handle(now, RosterEvent::Beat(beat));
+            states[to].handle(now, RosterEvent::Heartbeat(beat));
         }
     }
     assert!(most_facts <= RosterOptions::default().facts_per_beat);
