--- a/crates/entry/src/control/evidence.rs
+++ b/crates/entry/src/control/evidence.rs
@@ -278,7 +278,7 @@
         let me = self.me().entry.clone();
         let near: Vec<EntryId> = self
             .roster
-            .trusted_near()
+            .trusted_in_domain()
             .map(|member| member.entry.clone())
             .collect();
         let domain = &self.me().failure_domain;
--- a/crates/entry/src/control/lead.rs
+++ b/crates/entry/src/control/lead.rs
@@ -37,7 +37,7 @@
     pub(super) fn choose_leads(&mut self, now: Millis) {
         let near: Vec<String> = self
             .roster
-            .trusted_near()
+            .trusted_in_domain()
             .map(|member| member.entry.to_string())
             .collect();
         let me = self.me().clone();
--- a/crates/roster/src/state.rs
+++ b/crates/roster/src/state.rs
@@ -109,7 +109,7 @@
     }
 
     /// Trusted members of this failure domain, this VM among them.
-    pub fn trusted_near(&self) -> impl Iterator<Item = &Member> {
+    pub fn trusted_in_domain(&self) -> impl Iterator<Item = &Member> {
         self.record
             .members
             .iter()
