--- a/crates/entry/src/control/state.rs
+++ b/crates/entry/src/control/state.rs
@@ -112,7 +112,7 @@
 
     /// This daemon.
     pub fn me(&self) -> &Member {
-        self.roster.me()
+        self.roster.own_member()
     }
 
     /// The roster.
@@ -278,7 +278,7 @@
         fabric: &FabricDomain,
         failure_domain: &FailureDomain,
     ) -> &mut PlacementState {
-        let me = self.roster.me();
+        let me = self.roster.own_member();
         let (entry, incarnation) = (me.entry.clone(), me.incarnation);
         let options = &self.options.placement;
         self.placements.entry(fabric.clone()).or_insert_with(|| {
--- a/crates/entry/src/control/sync.rs
+++ b/crates/entry/src/control/sync.rs
@@ -147,7 +147,7 @@
         if !self.roster_read || is_waiting {
             return;
         }
-        let me = self.roster.me();
+        let me = self.roster.own_member();
         record.nonce = hash_bytes(
             format!("{}/{}/{}/{now}", me.entry, me.incarnation, record.epoch).as_bytes(),
         );
--- a/crates/roster/src/state.rs
+++ b/crates/roster/src/state.rs
@@ -79,7 +79,7 @@
     }
 
     /// This daemon.
-    pub fn me(&self) -> &Member {
+    pub fn own_member(&self) -> &Member {
         &self.me
     }
 
