--- a/crates/entry/src/control/state.rs
+++ b/crates/entry/src/control/state.rs
@@ -338,7 +338,7 @@
             "entry": self.me(),
             "roster": {
                 "record": self.roster.record(),
-                "news": self.roster.news(),
+                "news": self.roster.peers(),
                 "is_member": self.roster.is_member(),
             },
             "roll": {
--- a/crates/roster/src/state.rs
+++ b/crates/roster/src/state.rs
@@ -13,7 +13,7 @@
 
 /// What was heard of one member.
 #[derive(Clone, Debug, Serialize)]
-pub struct PeerNews {
+pub struct PeerLiveness {
     /// Its counter when last heard.
     pub counter: u32,
     /// When there was last news of it.
@@ -34,7 +34,7 @@
     me: Member,
     options: RosterOptions,
     record: RosterRecord,
-    news: IndexMap<EntryId, PeerNews>,
+    news: IndexMap<EntryId, PeerLiveness>,
     by_hash: IndexMap<u32, EntryId>,
     watch: PauseWatch,
     counter: u32,
@@ -89,7 +89,7 @@
     }
 
     /// What was heard of the others.
-    pub fn news(&self) -> &IndexMap<EntryId, PeerNews> {
+    pub fn peers(&self) -> &IndexMap<EntryId, PeerLiveness> {
         &self.news
     }
 
@@ -262,7 +262,7 @@
                 .news
                 .swap_remove(&member.entry)
                 .filter(|_| old.holds(&member.entry, member.incarnation));
-            let fresh = PeerNews {
+            let fresh = PeerLiveness {
                 counter: 0,
                 heard_at: now,
                 is_suspect: false,
--- a/crates/roster/src/state/beats.rs
+++ b/crates/roster/src/state/beats.rs
@@ -2,7 +2,7 @@
 
 use bergamot_types::prelude::*;
 
-use super::{PeerNews, RosterState};
+use super::{PeerLiveness, RosterState};
 use crate::event::RosterAction;
 use crate::heartbeat::{Heartbeat, LivenessFact};
 use crate::record::Member;
@@ -49,7 +49,7 @@
     }
 
     pub(super) fn beat(&self) -> Heartbeat {
-        let mut recent: Vec<(&EntryId, &PeerNews)> = self
+        let mut recent: Vec<(&EntryId, &PeerLiveness)> = self
             .news
             .iter()
             .filter(|(_, news)| !news.is_suspect)
