--- a/crates/bundle/src/roll.rs
+++ b/crates/bundle/src/roll.rs
@@ -125,12 +125,12 @@
 pub struct RollKeeper {
     ring: KeyRing,
     revoked: BTreeSet<SignerPublic>,
-    current: Option<Arc<InForce>>,
+    current: Option<Arc<ActiveBundle>>,
 }
 
 /// A bundle in force with the record that put it there.
 #[derive(Clone, PartialEq, Debug)]
-pub struct InForce {
+pub struct ActiveBundle {
     /// The record.
     pub record: RollRecord,
     /// The bundle as signed, for passing on to peers.
@@ -150,7 +150,7 @@
     }
 
     /// What is in force here.
-    pub fn current(&self) -> Option<&Arc<InForce>> {
+    pub fn current(&self) -> Option<&Arc<ActiveBundle>> {
         self.current.as_ref()
     }
 
@@ -192,7 +192,7 @@
             format!("{} after {}", record.number, self.number())
         });
         self.revoked = revoked;
-        self.current = Some(Arc::new(InForce {
+        self.current = Some(Arc::new(ActiveBundle {
             record: record.clone(),
             signed: signed.clone(),
             document,
--- a/crates/entry/src/control/state.rs
+++ b/crates/entry/src/control/state.rs
@@ -1,6 +1,6 @@
 //! The state and the dispatch of events.
 
-use bergamot_bundle::roll::InForce;
+use bergamot_bundle::roll::ActiveBundle;
 use bergamot_bundle::{BundleDigest, KeyRing, RollKeeper, RollRecord};
 use bergamot_peer::DemandFact;
 use bergamot_placement::{EngineReport, PlacementEvent, PlacementOptions, PlacementState};
@@ -121,7 +121,7 @@
     }
 
     /// The bundle in force here.
-    pub fn force(&self) -> Option<&Arc<InForce>> {
+    pub fn force(&self) -> Option<&Arc<ActiveBundle>> {
         self.rolls.current()
     }
 
--- a/crates/entry/src/front/model.rs
+++ b/crates/entry/src/front/model.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use bergamot_bundle::AccountSpec;
-use bergamot_bundle::roll::InForce;
+use bergamot_bundle::roll::ActiveBundle;
 use bergamot_engine::headers::{EPOCH, GROUP};
 use bergamot_engine::{SseEvent, SseParser, UpstreamReply, UpstreamRequest};
 use bergamot_routing::resume::TokenStep;
@@ -55,7 +55,7 @@
 pub async fn answer(
     front: &Arc<FrontContext>,
     request: CallerRequest,
-    force: &InForce,
+    force: &ActiveBundle,
     account: &AccountSpec,
     is_chat: bool,
     in_flight: InFlight,
--- a/crates/entry/src/front/request.rs
+++ b/crates/entry/src/front/request.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bergamot_bundle::document::is_allowed;
-use bergamot_bundle::roll::InForce;
+use bergamot_bundle::roll::ActiveBundle;
 use bergamot_bundle::{AccountSpec, BundleDigest};
 use bergamot_engine::headers::{DEADLINE, IDEMPOTENCY_KEY, REQUEST_ID, RUN};
 use bergamot_quarantine::RequestPrint;
@@ -140,7 +140,7 @@
 /// [`ErrorKind::Unauthorized`] without a known token.
 pub fn authenticate<'a>(
     headers: &HeaderMap,
-    force: &'a InForce,
+    force: &'a ActiveBundle,
 ) -> Result<&'a AccountSpec, ErrorKind> {
     let token = text(headers, AUTHORIZATION.as_str())
         .and_then(|value| value.strip_prefix("Bearer "))
@@ -156,7 +156,7 @@
 ///
 /// # Errors
 /// [`ErrorKind::NoBundle`] before the first.
-pub fn bundle(context: &FrontContext) -> Result<Arc<InForce>, ErrorKind> {
+pub fn bundle(context: &FrontContext) -> Result<Arc<ActiveBundle>, ErrorKind> {
     let view = context.shared.view.load();
     view.force.clone().ok_or(ErrorKind::NoBundle)
 }
--- a/crates/entry/src/front/service.rs
+++ b/crates/entry/src/front/service.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bergamot_bundle::AccountSpec;
-use bergamot_bundle::roll::InForce;
+use bergamot_bundle::roll::ActiveBundle;
 use bergamot_engine::headers::RAN;
 use bergamot_engine::{UpstreamReply, UpstreamRequest};
 use bergamot_routing::SentOutcome;
@@ -41,7 +41,7 @@
 pub async fn answer(
     front: &Arc<FrontContext>,
     request: CallerRequest,
-    force: &InForce,
+    force: &ActiveBundle,
     account: &AccountSpec,
     in_flight: InFlight,
 ) -> Result<CallerAnswer, Refusal> {
--- a/crates/entry/src/route_view.rs
+++ b/crates/entry/src/route_view.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use bergamot_bundle::roll::InForce;
+use bergamot_bundle::roll::ActiveBundle;
 use bergamot_placement::GroupRecord;
 use bergamot_roster::RosterRecord;
 use bergamot_routing::RunnerFact;
@@ -27,7 +27,7 @@
     /// Grows with each snapshot.
     pub version: u64,
     /// The bundle in force.
-    pub force: Option<Arc<InForce>>,
+    pub force: Option<Arc<ActiveBundle>>,
     /// Serving groups by model.
     pub models: IndexMap<ModelName, Vec<RunnerFact>>,
     /// How to ask the members of each serving group.
