--- a/crates/bundle/src/lib.rs
+++ b/crates/bundle/src/lib.rs
@@ -14,5 +14,5 @@
 pub use check::{Problem, check};
 pub use document::{AccountSpec, BundleDocument, ModelSpec, RouteSpec, ServiceSpec};
 pub use keys::{BundleDigest, Error, KeyRing, Signature, SignerKey, SignerPublic};
-pub use roll::{AdoptOutcome, RollKeeper, RollRecord, SignedBundle};
+pub use roll::{AdoptOutcome, RollAdopter, RollRecord, SignedBundle};
 pub use stage::{GateOutcome, StageGate};
--- a/crates/bundle/src/roll.rs
+++ b/crates/bundle/src/roll.rs
@@ -122,7 +122,7 @@
 
 /// Holds the bundle in force on one entry VM. Numbers only grow.
 #[derive(Clone, Debug)]
-pub struct RollKeeper {
+pub struct RollAdopter {
     ring: KeyRing,
     revoked: BTreeSet<SignerPublic>,
     current: Option<Arc<ActiveBundle>>,
@@ -139,7 +139,7 @@
     pub document: BundleDocument,
 }
 
-impl RollKeeper {
+impl RollAdopter {
     /// A keeper that trusts `ring` and has adopted nothing yet.
     pub fn new(ring: KeyRing) -> Self {
         Self {
--- a/crates/bundle/tests/roll.rs
+++ b/crates/bundle/tests/roll.rs
@@ -4,7 +4,7 @@
 
 use bergamot_bundle::document::ModelSpec;
 use bergamot_bundle::{
-    AccountSpec, AdoptOutcome, BundleDigest, BundleDocument, KeyRing, RollKeeper, RollRecord,
+    AccountSpec, AdoptOutcome, BundleDigest, BundleDocument, KeyRing, RollAdopter, RollRecord,
     SignedBundle, SignerKey, check,
 };
 use bergamot_types::{ClientAccount, ModelName};
@@ -95,7 +95,7 @@
         },
     ];
     for case in cases {
-        let mut keeper = RollKeeper::new(ring(case.threshold));
+        let mut keeper = RollAdopter::new(ring(case.threshold));
         let bundle = signed(&document("1"), &case.bundle_keys);
         let record = RollRecord::next(None, bundle.digest(), 1, &case.roll_keys);
         let outcome = keeper.adopt(&record, &bundle);
@@ -106,7 +106,7 @@
 
 #[test]
 fn numbers_only_grow() {
-    let mut keeper = RollKeeper::new(ring(1));
+    let mut keeper = RollAdopter::new(ring(1));
     let keys = [key(1)];
     let first = signed(&document("1"), &keys);
     let second = signed(&document("2"), &keys);
@@ -118,13 +118,13 @@
     assert_eq!(keeper.adopt(&rival, &first), Ok(AdoptOutcome::Conflict));
     assert_eq!(keeper.number(), 2);
     // The record of one bundle does not put another in force.
-    let mut fresh = RollKeeper::new(ring(1));
+    let mut fresh = RollAdopter::new(ring(1));
     assert!(fresh.adopt(&two, &first).is_err());
 }
 
 #[test]
 fn a_revoked_operator_signs_nothing_any_more() {
-    let mut keeper = RollKeeper::new(ring(1));
+    let mut keeper = RollAdopter::new(ring(1));
     let mut revoking = document("1");
     revoking.revoked_signers = vec![key(1).public().to_hex()];
     let bundle = signed(&revoking, &[key(2)]);
--- a/crates/entry/src/control/state.rs
+++ b/crates/entry/src/control/state.rs
@@ -1,7 +1,7 @@
 //! The state and the dispatch of events.
 
 use bergamot_bundle::roll::ActiveBundle;
-use bergamot_bundle::{BundleDigest, KeyRing, RollKeeper, RollRecord};
+use bergamot_bundle::{BundleDigest, KeyRing, RollAdopter, RollRecord};
 use bergamot_peer::DemandFact;
 use bergamot_placement::{EngineReport, PlacementEvent, PlacementOptions, PlacementState};
 use bergamot_platform::{VmFact, VmKind};
@@ -47,7 +47,7 @@
     pub(super) roster_revision: i64,
     pub(super) roster_swap: Option<RosterSwap>,
     pub(super) roster_read: bool,
-    pub(super) rolls: RollKeeper,
+    pub(super) rolls: RollAdopter,
     pub(super) offered: Option<RollRecord>,
     pub(super) asked_bundle: Option<(BundleDigest, Millis)>,
     pub(super) asked_peer: IndexMap<&'static str, Millis>,
@@ -79,7 +79,7 @@
     pub fn new(me: Member, options: ControlOptions) -> Self {
         Self {
             roster: RosterState::new(me, options.roster.clone()),
-            rolls: RollKeeper::new(options.operators.clone()),
+            rolls: RollAdopter::new(options.operators.clone()),
             options,
             roster_revision: 0,
             roster_swap: None,
--- a/crates/load/src/capacity/decisions.rs
+++ b/crates/load/src/capacity/decisions.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use bergamot_bundle::{KeyRing, RollKeeper, RollRecord, SignedBundle, SignerKey};
+use bergamot_bundle::{KeyRing, RollAdopter, RollRecord, SignedBundle, SignerKey};
 use bergamot_claims::{ClaimAsk, ClaimAsker, ClaimEvent, ClaimKey, ClaimOptions, ClaimState};
 use bergamot_entry::control::ControlEvent;
 use bergamot_placement::{
@@ -297,7 +297,7 @@
         let size = serde_json::to_vec(&signed).map_or(0, |v| v.len());
         bytes.push((models as f64, size as f64));
         let took = micros(|| {
-            let mut keeper = RollKeeper::new(ring.clone());
+            let mut keeper = RollAdopter::new(ring.clone());
             std::hint::black_box(keeper.adopt(&record, &signed).ok());
         });
         spent.push((models as f64, took));
