--- a/crates/placement/src/advance.rs
+++ b/crates/placement/src/advance.rs
@@ -1,4 +1,4 @@
-//! The next record, given what is known: one pure step from record to record.
+//! Computes the next record from the current one, as a pure function.
 
 use bergamot_types::mutate::{Mutation, is_on};
 use bergamot_types::prelude::*;
@@ -9,58 +9,59 @@
 use crate::quota::WantedModel;
 use crate::record::{DomainRecord, GroupPhase, GroupRecord, ModelRef, VmSlot, VmUse};
 use crate::repair::{evict_dead, repair_groups};
-use crate::views::{ListedState, VmView};
+use crate::views::{ListingState, VmView};
 
-/// Everything the step looks at besides the record.
+/// Inputs of [`advance`] other than the record.
 #[derive(Clone, Copy)]
 pub struct AdvanceContext<'a> {
-    /// The time.
+    /// The current time.
     pub now: Millis,
     /// The settings.
     pub options: &'a PlacementOptions,
-    /// What is known of each VM.
+    /// What is known about each VM.
     pub views: &'a IndexMap<VmId, VmView>,
-    /// What should run here; none before a bundle is in force.
+    /// The models that the fabric domain should run; none before a bundle was adopted.
     pub wanted: Option<&'a [WantedModel]>,
-    /// The roll that wants it.
+    /// The roll that specifies the wanted models.
     pub roll: u64,
-    /// Whether groups may be replaced by ones of a newer version here.
+    /// Whether groups of old versions may be replaced in this fabric domain.
     pub may_replace: bool,
-    /// Since when each draining group drains.
-    pub draining_since: &'a IndexMap<GroupId, DrainTimes>,
-    /// Since when there have been more groups of a model than wanted.
+    /// Progress of each draining group.
+    pub drains: &'a IndexMap<GroupId, DrainProgress>,
+    /// Since when each model has had more groups than wanted.
     pub surplus_since: &'a IndexMap<ModelName, Millis>,
-    /// Until when orders of an earlier coordinator may still be on their way.
-    pub quiet_until: Millis,
-    /// Whether so much is silent at once that the fabric domain, or our link to it, is gone.
+    /// Until when orders of an earlier coordinator may be in flight.
+    pub handover_until: Millis,
+    /// Whether so many VMs are unresponsive at once that the fabric domain, or the link to it, is
+    /// lost.
     pub is_storm: bool,
 }
 
-/// How far a drain has come.
+/// Progress of a drain.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct DrainTimes {
-    /// Since when the record says so.
-    pub recorded: Millis,
-    /// Since when the leader's own reports say so. Until then senders that lag behind the record
-    /// may still take it for ready.
-    pub obeyed: Option<Millis>,
+pub struct DrainProgress {
+    /// When the record first listed the group as draining.
+    pub recorded_at: Millis,
+    /// When the leader's reports first showed that it accepts no new requests. Until then, entry
+    /// VMs with an outdated record may still treat the leader as ready.
+    pub leader_stopped_at: Option<Millis>,
 }
 
 impl AdvanceContext<'_> {
-    /// Whether a VM counts as dead. In a storm only the platform's word counts.
+    /// Whether a VM counts as dead. During a storm only VMs that the platform has delisted do.
     pub(crate) fn is_dead(&self, vm: &VmId) -> bool {
         match self.views.get(vm) {
-            Some(view) if self.is_storm => view.listed == ListedState::Gone,
+            Some(view) if self.is_storm => view.listing == ListingState::Delisted,
             Some(view) => view.is_dead(self.now, self.options),
             None => false,
         }
     }
 
-    /// Whether a member's engine says that it is not in the group, as after a restart.
-    pub(crate) fn has_dropped(&self, vm: &VmId, group: &GroupId) -> bool {
+    /// Whether a member's engine reports that it is not in the group, as after a restart.
+    pub(crate) fn has_left(&self, vm: &VmId, group: &GroupId) -> bool {
         let view = self.views.get(vm);
         let report =
-            view.and_then(|view| view.settled_report(self.now, self.quiet_until, self.options));
+            view.and_then(|view| view.settled_report(self.now, self.handover_until, self.options));
         report.is_some_and(|report| report.group.as_ref() != Some(group))
     }
 
@@ -70,55 +71,57 @@
         }
         self.views
             .get(vm)
-            .is_some_and(|view| view.listed == ListedState::Leaving)
+            .is_some_and(|view| view.listing == ListingState::Leaving)
     }
 
-    /// Free VMs that may enter a group now, those that hold `model` first.
+    /// Returns the free VMs that may join a group now, those with the weights of `model` in memory
+    /// first.
     pub(crate) fn usable_vms(&self, record: &DomainRecord, model: Option<&ModelRef>) -> Vec<VmId> {
-        let holds = |view: &VmView| {
-            let report = view.report.as_ref().map(|(_, report)| report);
-            let warm = report.zip(model);
-            warm.is_some_and(|(report, model)| report.warm.contains(model))
+        let is_warm = |view: &VmView| {
+            let report = view.last_report.as_ref().map(|(_, report)| report);
+            let report_and_model = report.zip(model);
+            report_and_model.is_some_and(|(report, model)| report.warm.contains(model))
         };
         let mut usable: Vec<(bool, &VmId)> = record
             .vms
             .iter()
             .filter(|(_, slot)| slot.usage == VmUse::Free)
             .filter_map(|(vm, _)| self.views.get(vm).map(|view| (vm, view)))
-            .filter(|(_, view)| view.is_usable(self.now, self.quiet_until, self.options))
-            .map(|(vm, view)| (!holds(view), vm))
+            .filter(|(_, view)| view.is_usable(self.now, self.handover_until, self.options))
+            .map(|(vm, view)| (!is_warm(view), vm))
             .collect();
         usable.sort_by_key(|(is_cold, _)| *is_cold);
         usable.into_iter().map(|(_, vm)| vm.clone()).collect()
     }
 }
 
-/// The record as it should be next. Equal to `record` when nothing is to be done.
+/// Returns the next record, which equals `record` if nothing has to change.
 ///
-/// Costs a few passes over the VMs and groups of one fabric domain.
+/// Takes a few passes over the VMs and groups of the fabric domain.
 pub fn advance(record: &DomainRecord, context: &AdvanceContext<'_>) -> DomainRecord {
     let mut next = record.clone();
-    follow_list(&mut next, context);
+    apply_listings(&mut next, context);
     free_evicted(&mut next, context);
     evict_dead(&mut next, context);
-    move_phases(&mut next, context);
-    drain_leaving(&mut next, context);
+    advance_phases(&mut next, context);
+    retire_leaving(&mut next, context);
     repair_groups(&mut next, context);
     if let Some(wanted) = context.wanted {
-        release_unwanted(&mut next, context, wanted);
+        retire_surplus(&mut next, context, wanted);
         form_missing(&mut next, context, wanted);
-        replace_old(&mut next, context, wanted);
+        replace_outdated(&mut next, context, wanted);
     }
     next
 }
 
-fn follow_list(record: &mut DomainRecord, context: &AdvanceContext<'_>) {
+/// Removes delisted VMs from the record and adds newly listed ones.
+fn apply_listings(record: &mut DomainRecord, context: &AdvanceContext<'_>) {
     record.vms.retain(|vm, _| {
         let view = context.views.get(vm);
-        view.is_none_or(|view| view.listed != ListedState::Gone)
+        view.is_none_or(|view| view.listing != ListingState::Delisted)
     });
     for (vm, view) in context.views {
-        if view.listed != ListedState::Live || record.vms.contains_key(vm) {
+        if view.listing != ListingState::Live || record.vms.contains_key(vm) {
             continue;
         }
         let slot = VmSlot {
@@ -130,18 +133,20 @@
     }
 }
 
+/// Frees evicted VMs whose engines report that they left the group.
 fn free_evicted(record: &mut DomainRecord, context: &AdvanceContext<'_>) {
     for (vm, slot) in &mut record.vms {
         let VmUse::Evicted(group) = &slot.usage else {
             continue;
         };
-        if context.has_dropped(vm, group) || is_on(Mutation::FreeUnconfirmedVm) {
+        if context.has_left(vm, group) || is_on(Mutation::FreeUnconfirmedVm) {
             slot.usage = VmUse::Free;
         }
     }
 }
 
-fn move_phases(record: &mut DomainRecord, context: &AdvanceContext<'_>) {
+/// Moves groups to the next phase of their life cycle where the reports allow it.
+fn advance_phases(record: &mut DomainRecord, context: &AdvanceContext<'_>) {
     let ids: Vec<GroupId> = record.groups.keys().cloned().collect();
     for id in ids {
         match record.groups[&id].phase {
@@ -152,12 +157,12 @@
                 record.groups[&id].phase = GroupPhase::Releasing;
             }
             GroupPhase::Releasing => {
-                let is_out = |vm: &VmId| context.has_dropped(vm, &id);
-                let all_out = record.members(&id).all(|(vm, _)| is_out(vm));
-                if all_out {
+                let has_left = |vm: &VmId| context.has_left(vm, &id);
+                let have_all_left = record.members(&id).all(|(vm, _)| has_left(vm));
+                if have_all_left {
                     record.dissolve(&id);
                 } else {
-                    evict_silent(record, context, &id);
+                    evict_dead_members(record, context, &id);
                 }
             }
             _ => {}
@@ -165,8 +170,9 @@
     }
 }
 
-/// A group with a member that the platform takes away gets no new work, replacement or not.
-fn drain_leaving(record: &mut DomainRecord, context: &AdvanceContext<'_>) {
+/// Retires groups with a member that the platform is about to remove, even if there is no
+/// replacement for them.
+fn retire_leaving(record: &mut DomainRecord, context: &AdvanceContext<'_>) {
     let leaving: Vec<GroupId> = record
         .groups
         .iter()
@@ -179,18 +185,20 @@
     }
 }
 
-/// A member that died while its group was released must not hold the others back.
-fn evict_silent(record: &mut DomainRecord, context: &AdvanceContext<'_>, id: &GroupId) {
-    let silent: Vec<VmId> = record
+/// Evicts members that died while their group is being released, so that the group can be
+/// dissolved without their reports.
+fn evict_dead_members(record: &mut DomainRecord, context: &AdvanceContext<'_>, id: &GroupId) {
+    let dead: Vec<VmId> = record
         .members(id)
         .filter(|(vm, _)| context.is_dead(vm))
         .map(|(vm, _)| vm.clone())
         .collect();
-    for vm in silent {
+    for vm in dead {
         record.evict(&vm);
     }
 }
 
+/// Whether the group is complete and all members report that they are ready.
 fn is_ready(record: &DomainRecord, context: &AdvanceContext<'_>, id: &GroupId) -> bool {
     let group = &record.groups[id];
     let is_member_ready = |vm: &VmId| {
@@ -202,40 +210,42 @@
             report.is_ready_in(id, group.epoch) && report.model.as_ref() == Some(&group.model)
         })
     };
-    let asked_members = match is_on(Mutation::AcceptPartialGroup) {
+    let checked_members = match is_on(Mutation::AcceptPartialGroup) {
         true => 1,
         false => usize::MAX,
     };
-    let mut members = record.members(id).take(asked_members);
+    let mut members = record.members(id).take(checked_members);
     record.is_full(id) && members.all(|(vm, _)| is_member_ready(vm))
 }
 
+/// Whether a draining group has no requests in flight, or has been draining for too long.
 fn is_drained(record: &DomainRecord, context: &AdvanceContext<'_>, id: &GroupId) -> bool {
-    let Some(since) = context.draining_since.get(id) else {
+    let Some(progress) = context.drains.get(id) else {
         return false;
     };
-    let waited = context.now.since(since.recorded);
+    let elapsed = context.now.since(progress.recorded_at);
     if is_on(Mutation::ReleaseWithoutDrain) {
         return true;
     }
-    if waited >= context.options.max_drain {
+    if elapsed >= context.options.max_drain {
         return true;
     }
-    let Some(obeyed) = since.obeyed else {
+    let Some(leader_stopped_at) = progress.leader_stopped_at else {
         return false;
     };
     record.members(id).all(|(vm, _)| {
         let view = context.views.get(vm);
-        let report = view.and_then(|view| view.report.as_ref());
-        report.is_some_and(|(asked, report)| {
-            // Only a report asked for after everyone stopped sending says anything.
-            *asked >= obeyed + context.options.min_drain && report.running + report.queued == 0
+        let last_report = view.and_then(|view| view.last_report.as_ref());
+        last_report.is_some_and(|(asked_at, report)| {
+            // Before all entry VMs have stopped sending, a report without requests proves nothing.
+            *asked_at >= leader_stopped_at + context.options.min_drain
+                && report.running + report.queued == 0
         })
     })
 }
 
-/// Whether a group should make way for one of a newer version.
-fn is_condemned(
+/// Whether the group runs an old version that may be replaced now.
+fn is_outdated(
     record: &DomainRecord,
     context: &AdvanceContext<'_>,
     id: &GroupId,
@@ -246,7 +256,8 @@
     is_old && context.may_replace
 }
 
-fn groups_of(record: &DomainRecord, name: &ModelName) -> Vec<GroupId> {
+/// Returns the forming and serving groups of a model.
+fn active_groups(record: &DomainRecord, name: &ModelName) -> Vec<GroupId> {
     record
         .groups
         .iter()
@@ -256,7 +267,7 @@
         .collect()
 }
 
-/// Ends a group in the way that cuts nothing: serving ones drain first.
+/// Starts the removal of a group without aborting requests: a serving group drains first.
 fn retire(record: &mut DomainRecord, id: &GroupId) {
     let group = &mut record.groups[id];
     group.phase = match group.phase {
@@ -265,11 +276,8 @@
     };
 }
 
-fn release_unwanted(
-    record: &mut DomainRecord,
-    context: &AdvanceContext<'_>,
-    wanted: &[WantedModel],
-) {
+/// Retires groups of models that are no longer wanted, and surplus groups of wanted models.
+fn retire_surplus(record: &mut DomainRecord, context: &AdvanceContext<'_>, wanted: &[WantedModel]) {
     let names: Vec<ModelName> = record
         .groups
         .values()
@@ -277,12 +285,12 @@
         .collect();
     let is_wanted = |name: &ModelName| wanted.iter().any(|want| want.model.name == *name);
     for name in names.iter().filter(|name| !is_wanted(name)) {
-        for id in groups_of(record, name) {
+        for id in active_groups(record, name) {
             retire(record, &id);
         }
     }
     for want in wanted {
-        let mut groups = groups_of(record, &want.model.name);
+        let mut groups = active_groups(record, &want.model.name);
         let surplus = groups.len().saturating_sub(want.count as usize);
         let is_held = context
             .surplus_since
@@ -291,11 +299,11 @@
         if surplus == 0 || is_held {
             continue;
         }
-        // Groups that do not serve go first, then condemned ones, then the newest.
+        // Retires groups that do not serve first, then outdated ones.
         groups.sort_by_key(|id| {
             let group = &record.groups[id];
-            let is_kept = !is_condemned(record, context, id, want);
-            (group.phase == GroupPhase::Serving, is_kept)
+            let is_current = !is_outdated(record, context, id, want);
+            (group.phase == GroupPhase::Serving, is_current)
         });
         for id in groups.iter().take(surplus) {
             retire(record, id);
@@ -303,6 +311,7 @@
     }
 }
 
+/// Forms groups of models that have fewer than wanted, as far as free VMs are not kept as spares.
 fn form_missing(record: &mut DomainRecord, context: &AdvanceContext<'_>, wanted: &[WantedModel]) {
     let is_rebuild = context.options.policy == RepairPolicy::RebuildFirstFit;
     let most_urgent = wanted.iter().map(|want| want.priority).min().unwrap_or(0);
@@ -317,18 +326,18 @@
                 want.priority,
             ),
         };
-        let have = groups_of(record, &want.model.name).len() as u32;
-        for _ in have..want.count {
+        let existing = active_groups(record, &want.model.name).len() as u32;
+        for _ in existing..want.count {
             let usable = context.usable_vms(record, Some(&want.model));
             if usable.len() < (want.size + spares) as usize {
                 break;
             }
-            form(record, context, want, &usable);
+            form_group(record, context, want, &usable);
         }
     }
 }
 
-fn form(
+fn form_group(
     record: &mut DomainRecord,
     context: &AdvanceContext<'_>,
     want: &WantedModel,
@@ -345,20 +354,25 @@
     record.form(group, &usable[..want.size as usize]);
 }
 
-/// Replaces condemned groups one at a time: beside the old one where there is room, else after it.
-fn replace_old(record: &mut DomainRecord, context: &AdvanceContext<'_>, wanted: &[WantedModel]) {
+/// Replaces outdated groups one at a time. If there are enough free VMs, the new group forms before
+/// the old one drains, otherwise after it.
+fn replace_outdated(
+    record: &mut DomainRecord,
+    context: &AdvanceContext<'_>,
+    wanted: &[WantedModel],
+) {
     for want in wanted {
-        let groups = groups_of(record, &want.model.name);
+        let groups = active_groups(record, &want.model.name);
         for id in &groups {
             record.groups[id].priority = want.priority;
         }
-        let (condemned, good): (Vec<GroupId>, Vec<GroupId>) = groups
+        let (outdated, current): (Vec<GroupId>, Vec<GroupId>) = groups
             .into_iter()
-            .partition(|id| is_condemned(record, context, id, want));
-        let Some(oldest) = condemned.first() else {
+            .partition(|id| is_outdated(record, context, id, want));
+        let Some(oldest) = outdated.first() else {
             continue;
         };
-        let is_busy = good
+        let is_busy = current
             .iter()
             .any(|id| record.groups[id].phase == GroupPhase::Forming)
             || record.groups.values().any(|group| {
@@ -369,11 +383,11 @@
         if is_serving && is_busy {
             continue;
         }
-        let has_overlap = condemned.len() + good.len() > want.count as usize;
+        let has_overlap = outdated.len() + current.len() > want.count as usize;
         let usable = context.usable_vms(record, Some(&want.model));
         let has_room = usable.len() >= want.size as usize;
         if !has_overlap && has_room && is_serving && want.count > 0 {
-            form(record, context, want, &usable);
+            form_group(record, context, want, &usable);
         } else {
             retire(record, &oldest.clone());
         }
--- a/crates/placement/src/event.rs
+++ b/crates/placement/src/event.rs
@@ -1,4 +1,4 @@
-//! What a coordinator has to know of and what it wants done.
+//! Inputs and outputs of [`PlacementState`](crate::PlacementState).
 
 use bergamot_types::prelude::*;
 
@@ -7,93 +7,93 @@
 use crate::report::{EngineReport, VmOrder};
 use crate::views::VmListing;
 
-/// What became of a compare-and-swap.
+/// Outcome of a compare-and-swap.
 #[derive(Clone, PartialEq, Debug)]
 pub enum SwapOutcome {
-    /// Written, at this revision.
+    /// The record was written at this revision.
     Won(i64),
     /// Another write came first.
     Lost,
-    /// The answer was lost; the write may have taken effect.
+    /// The reply was lost; the write may have taken effect.
     Unknown,
-    /// It was not sent.
+    /// The swap was not sent.
     NotSent,
 }
 
-/// Something a coordinator has to know of.
+/// An input of [`PlacementState`](crate::PlacementState).
 #[derive(Clone, Debug)]
 pub enum PlacementEvent {
-    /// Time passed.
+    /// Time has passed.
     Tick,
-    /// The record was read, by a read begun at `started`. None if there is none.
+    /// The record was read.
     Record {
-        /// The record in force.
+        /// The current record, or none if the store has none.
         record: Option<DomainRecord>,
-        /// The revision that wrote it.
+        /// The revision that wrote the record.
         revision: i64,
-        /// When the read began; for records passed on by a watch, when it arrived.
+        /// When the read began; for a record from a watch, when it arrived.
         started: Millis,
     },
-    /// A swap ended.
+    /// A swap completed.
     Swapped {
-        /// Which one.
+        /// Nonce of the record in the swap.
         nonce: u64,
-        /// How.
+        /// Outcome of the swap.
         outcome: SwapOutcome,
     },
-    /// The VM list was read: the engines of this fabric domain.
+    /// The VM list was read. Carries the engine VMs of this fabric domain.
     Listed(Vec<VmListing>),
-    /// An engine answered a question asked at `asked`.
+    /// An engine answered a query.
     Report {
-        /// Whose engine.
+        /// The engine's VM.
         vm: VmId,
-        /// When it was asked.
+        /// When the query was sent.
         asked: Millis,
-        /// What it said.
+        /// The engine's answer.
         report: EngineReport,
     },
-    /// An engine did not answer a question asked at `asked`.
+    /// An engine did not answer a query.
     Unanswered {
-        /// Whose engine.
+        /// The engine's VM.
         vm: VmId,
-        /// When it was asked.
+        /// When the query was sent.
         asked: Millis,
     },
-    /// What should run here.
+    /// The models that this fabric domain should run have changed.
     Wanted {
-        /// The roll that says so.
+        /// The roll that specifies the models.
         roll: u64,
-        /// The models with their counts here.
+        /// The models, with the number of groups in this fabric domain.
         models: Vec<WantedModel>,
-        /// Whether old versions may be replaced here now.
+        /// Whether groups of old versions may be replaced in this fabric domain now.
         may_replace: bool,
     },
     /// Whether this entry VM should coordinate the fabric domain.
     Lead(bool),
     /// An order was answered or given up.
     Ordered {
-        /// Whose engine.
+        /// The VM that the order was for.
         vm: VmId,
     },
 }
 
-/// Something a coordinator wants done.
+/// An output of [`PlacementState`](crate::PlacementState).
 #[derive(Clone, PartialEq, Debug)]
 pub enum PlacementAction {
     /// Read the record.
     Read,
-    /// Write the record if it is still at this revision.
+    /// Write the record if the stored one is still at the expected revision.
     Swap {
         /// The record to write.
         record: DomainRecord,
-        /// The revision it must still have; zero if it must be absent.
+        /// Expected revision of the stored record; zero if there must be none.
         expected: i64,
     },
-    /// Tell an engine.
+    /// Send an order to an engine.
     Order {
-        /// Whose engine.
+        /// The engine's VM.
         vm: VmId,
-        /// What to do.
+        /// The order.
         order: VmOrder,
     },
 }
--- a/crates/placement/src/evidence.rs
+++ b/crates/placement/src/evidence.rs
@@ -1,4 +1,4 @@
-//! Whether a group may be sent requests.
+//! Decides whether requests may be sent to a group.
 
 use bergamot_types::mutate::{Mutation, is_on};
 use bergamot_types::prelude::*;
@@ -7,20 +7,21 @@
 use crate::record::{DomainRecord, GroupPhase};
 use crate::report::EngineReport;
 
-/// What speaks for a group being whole.
+/// Evidence that a group is complete and ready.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct GroupEvidence {
-    /// When the oldest of its members' reports was asked for.
+    /// When the oldest of the members' reports was asked for.
     pub oldest_at: Millis,
-    /// Requests its leader reported as running.
+    /// Number of requests that the leader reported as running.
     pub running: u32,
-    /// Requests its leader reported as queued.
+    /// Number of requests that the leader reported as queued.
     pub queued: u32,
 }
 
-/// The evidence that every member of a serving group is ready in the group's own epoch.
+/// Returns the evidence that every member of a serving group is ready in the group's epoch.
 ///
-/// None when the record does not say serving, a member is missing, or any report differs.
+/// Returns none if the record does not list the group as serving, if a member is missing, or if a
+/// member's report is missing or contradicts the record.
 pub fn group_evidence(
     record: &DomainRecord,
     id: &GroupId,
@@ -31,20 +32,20 @@
         return None;
     }
     let mut evidence: Option<GroupEvidence> = None;
-    let asked_members = match is_on(Mutation::AcceptPartialGroup) {
+    let checked_members = match is_on(Mutation::AcceptPartialGroup) {
         true => 1,
         false => usize::MAX,
     };
-    for (vm, _) in record.members(id).take(asked_members) {
-        let (asked, report) = reports.get(vm)?;
+    for (vm, _) in record.members(id).take(checked_members) {
+        let (asked_at, report) = reports.get(vm)?;
         if !report.is_ready_in(id, group.epoch) || report.model.as_ref() != Some(&group.model) {
             return None;
         }
         match evidence.as_mut() {
-            Some(evidence) => evidence.oldest_at = evidence.oldest_at.min(*asked),
+            Some(evidence) => evidence.oldest_at = evidence.oldest_at.min(*asked_at),
             None => {
                 evidence = Some(GroupEvidence {
-                    oldest_at: *asked,
+                    oldest_at: *asked_at,
                     running: report.running,
                     queued: report.queued,
                 });
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,9 +1,11 @@
-//! Which VMs form which replica group, and how a group is assembled, repaired and released.
+//! Decides which VMs form which replica group, and how groups are formed, repaired and released.
 //!
-//! One record per fabric domain says which VM belongs to which group, as one field of the VM, so
-//! that a VM in two groups cannot be written. The record changes only by compare-and-swap.
+//! Each fabric domain has one record that states for every VM which group it belongs to. As group
+//! membership is a field of the VM, a record cannot contain a VM in two groups. The record changes
+//! only by compare-and-swap.
 //!
-//! Decisions only: no I/O, no clock, no random numbers. See [`PlacementState::handle`].
+//! This crate does no I/O, reads no clock and draws no random numbers. See
+//! [`PlacementState::handle`].
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
@@ -29,4 +31,4 @@
 pub use record::{DomainRecord, GroupPhase, GroupRecord, ModelRef, VmSlot, VmUse};
 pub use report::{EnginePhase, EngineReport, OrderKind, VmOrder};
 pub use state::PlacementState;
-pub use views::{ListedState, VmListing, VmView};
+pub use views::{ListingState, VmListing, VmView};
--- a/crates/placement/src/options.rs
+++ b/crates/placement/src/options.rs
@@ -1,4 +1,4 @@
-//! What operators can set about groups.
+//! Placement settings.
 
 use bergamot_types::Millis;
 use serde::{Deserialize, Serialize};
@@ -7,52 +7,55 @@
 #[derive(Clone, Copy, PartialEq, Eq, Default, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RepairPolicy {
-    /// The way that costs least by the two weights.
+    /// Chooses the repair with the lowest cost of downtime and stranded accelerators.
     #[default]
     LeastCost,
-    /// Dissolve the group and form one anew from whatever is free. The baseline.
+    /// Dissolves the group and forms a new one from any free VMs. Serves as the baseline.
     RebuildFirstFit,
 }
 
-/// Weights, times and bounds.
+/// Settings of the coordinator of a fabric domain.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PlacementOptions {
     /// How a broken group is repaired.
     pub policy: RepairPolicy,
-    /// Cost of one second of one group's downtime, for the most urgent priority.
+    /// Cost of one second of downtime of a group with the most urgent priority.
     pub downtime_weight: f64,
     /// Cost of one second of one stranded accelerator.
     pub stranded_weight: f64,
-    /// Silence after which a member counts as dead.
+    /// How long a member may leave queries unanswered before it counts as dead.
     pub unreachable_after: Millis,
-    /// Age up to which a report counts.
+    /// Maximum age of a report that decisions rely on.
     pub report_max_age: Millis,
-    /// Share of the fabric domain's VMs that must be silent at once to count as its loss.
+    /// If more than this share of the fabric domain's VMs is unresponsive at once, the whole domain
+    /// counts as lost.
     pub storm_share: f64,
-    /// The least time between the decision to drain and the release, for all to learn of it.
+    /// Minimum time between the decision to drain a group and its release, so that all senders
+    /// learn of the drain.
     pub min_drain: Millis,
-    /// The most time a drain may take.
+    /// Maximum duration of a drain.
     pub max_drain: Millis,
-    /// VMs that may load weights at once, so that the weight store is not swamped.
+    /// Maximum number of VMs that load weights at once, so that the weight store is not overloaded.
     pub parallel_loads: usize,
-    /// How long a confirmed term allows orders to go out.
+    /// How long after the confirmation of its term a coordinator may send orders.
     pub confirm_bound: Millis,
-    /// How long an order may be on its way.
+    /// How long an order may be in flight.
     pub order_timeout: Millis,
-    /// How long a VM must have been heard without a gap before it enters a group again.
+    /// How long a VM that was unresponsive must answer without a gap before it may join a group
+    /// again.
     pub flap_hold: Millis,
-    /// How long the platform takes to replace a lost VM, for the cost of waiting.
+    /// Expected time in which the platform replaces a lost VM, for the cost of waiting.
     pub replacement_time: Millis,
-    /// How long a VM takes to load weights it does not hold.
+    /// Expected time in which a VM loads weights that it does not hold in memory.
     pub load_time: Millis,
-    /// Failures per VM and day, for the number of spares.
+    /// Expected failures per VM and day, for the number of spares.
     pub failures_per_vm_day: f64,
-    /// Time a surplus group is kept, so that a short loss elsewhere does not cost two moves.
+    /// How long a surplus group is kept, so that a short loss elsewhere does not cause two moves.
     pub surplus_hold: Millis,
-    /// Whether free VMs hold the weights of the models most likely to need them.
+    /// Whether free VMs preload the weights of the models that most likely need a replacement.
     pub warm_spares: bool,
-    /// Models whose weights one free VM holds.
+    /// Number of models whose weights one free VM holds.
     pub models_per_spare: usize,
 }
 
--- a/crates/placement/src/orders.rs
+++ b/crates/placement/src/orders.rs
@@ -1,4 +1,4 @@
-//! What engines must be told so that they match the record.
+//! Derives the orders that bring engines into line with the record.
 
 use bergamot_types::prelude::*;
 
@@ -6,7 +6,7 @@
 use crate::record::{DomainRecord, GroupPhase, ModelRef, VmUse};
 use crate::report::{EnginePhase, EngineReport, OrderKind, VmOrder};
 
-/// The orders due now, at most one a VM, most urgent groups first.
+/// Returns the orders that are due now, at most one per VM, those for the most urgent groups first.
 pub fn due_orders(
     record: &DomainRecord,
     context: &AdvanceContext<'_>,
@@ -22,26 +22,26 @@
             continue;
         };
         let order = match &slot.usage {
-            VmUse::Member(group) if is_held_leader(record, context, vm, group, report) => None,
+            VmUse::Member(group) if must_join_last(record, context, vm, group, report) => None,
             VmUse::Member(group) => member_order(record, group, report, term),
-            VmUse::Evicted(_) | VmUse::Free => leave_stray(report, term),
+            VmUse::Evicted(_) | VmUse::Free => leave_order(report, term),
         };
         orders.extend(order.map(|order| (vm.clone(), order)));
     }
-    pace_loads(record, context, &mut orders);
+    limit_loads(record, context, &mut orders);
     if context.options.warm_spares {
-        warm_spares(record, context, term, &mut orders);
+        order_warm_up(record, context, term, &mut orders);
     }
     orders
 }
 
-/// Whether a leader has to wait for the other members.
+/// Whether the VM is a leader that must not join before the other members are ready.
 ///
-/// Requests that were on their way to the VM's last group still arrive for as long as evidence
-/// counts, and an engine may take them for the new one. A leader that holds the weights would be
-/// ready at once, before the others are; so it joins last. One that has to load takes longer than
-/// any such request.
-fn is_held_leader(
+/// For as long as evidence is valid, requests for the VM's previous group may still arrive, and an
+/// engine may accept them for the new group. A leader that holds the weights in memory would be
+/// ready at once, before the other members, and therefore joins last. A leader that must load the
+/// weights takes longer than any such request.
+fn must_join_last(
     record: &DomainRecord,
     context: &AdvanceContext<'_>,
     vm: &VmId,
@@ -63,6 +63,7 @@
     is_joining && is_leader && is_warm && !others.all(|(member, _)| is_ready(member))
 }
 
+/// Returns the order that a member of the group needs, if any.
 fn member_order(
     record: &DomainRecord,
     id: &GroupId,
@@ -70,11 +71,11 @@
     term: u64,
 ) -> Option<VmOrder> {
     let group = record.groups.get(id)?;
-    let is_elsewhere = report.group.as_ref().is_some_and(|other| other != id);
-    if is_elsewhere {
-        return leave_stray(report, term);
+    let is_in_other_group = report.group.as_ref().is_some_and(|other| other != id);
+    if is_in_other_group {
+        return leave_order(report, term);
     }
-    let is_member = report.group.is_some();
+    let has_joined = report.group.is_some();
     let kind = match group.phase {
         GroupPhase::Forming if record.is_full(id) && !report.is_in(id, group.epoch) => {
             OrderKind::Join {
@@ -82,10 +83,10 @@
                 members: record.members(id).map(|(vm, _)| vm.clone()).collect(),
             }
         }
-        GroupPhase::Draining if is_member && report.phase != EnginePhase::Draining => {
+        GroupPhase::Draining if has_joined && report.phase != EnginePhase::Draining => {
             OrderKind::Drain
         }
-        GroupPhase::Releasing if is_member => OrderKind::Leave,
+        GroupPhase::Releasing if has_joined => OrderKind::Leave,
         _ => return None,
     };
     Some(VmOrder {
@@ -96,7 +97,8 @@
     })
 }
 
-fn leave_stray(report: &EngineReport, term: u64) -> Option<VmOrder> {
+/// Returns the order to leave the group that the engine reports, if it reports one.
+fn leave_order(report: &EngineReport, term: u64) -> Option<VmOrder> {
     let group = report.group.clone()?;
     Some(VmOrder {
         group: Some(group),
@@ -106,48 +108,49 @@
     })
 }
 
-/// Holds joins back so that no more VMs load at once than the weight store bears.
-fn pace_loads(
+/// Removes join orders that would let more VMs load weights at once than the weight store can
+/// serve. Sorts the orders by the priority of their groups.
+fn limit_loads(
     record: &DomainRecord,
     context: &AdvanceContext<'_>,
     orders: &mut Vec<(VmId, VmOrder)>,
 ) {
     let is_loading = |vm: &VmId| {
         let view = context.views.get(vm);
-        let report = view.and_then(|view| view.report.as_ref());
+        let report = view.and_then(|view| view.last_report.as_ref());
         report.is_some_and(|(_, report)| report.phase == EnginePhase::Loading)
     };
     let loading = record.vms.keys().filter(|vm| is_loading(vm)).count();
-    let mut room = context.options.parallel_loads.saturating_sub(loading);
-    let urgency = |order: &VmOrder| {
+    let mut free_loads = context.options.parallel_loads.saturating_sub(loading);
+    let priority = |order: &VmOrder| {
         let group = order.group.as_ref().and_then(|id| record.groups.get(id));
         group.map_or(0, |group| group.priority)
     };
-    orders.sort_by_key(|(_, order)| urgency(order));
-    let mut begun: Vec<GroupId> = Vec::new();
+    orders.sort_by_key(|(_, order)| priority(order));
+    let mut started_groups: Vec<GroupId> = Vec::new();
     orders.retain(|(vm, order)| {
         let OrderKind::Join { model, .. } = &order.kind else {
             return true;
         };
         let view = context.views.get(vm);
-        let report = view.and_then(|view| view.report.as_ref());
+        let report = view.and_then(|view| view.last_report.as_ref());
         let is_warm = report.is_some_and(|(_, report)| report.warm.contains(model));
         if is_warm {
             return true;
         }
-        // A group that has begun goes on, or half of it would sit loaded and idle.
+        // Once one member of a group may load, all may. Otherwise the loaded members would idle.
         let group = order.group.clone().unwrap_or_default();
-        let may_begin = room > 0 || begun.contains(&group);
-        if may_begin {
-            room = room.saturating_sub(1);
-            begun.push(group);
+        let may_load = free_loads > 0 || started_groups.contains(&group);
+        if may_load {
+            free_loads = free_loads.saturating_sub(1);
+            started_groups.push(group);
         }
-        may_begin
+        may_load
     });
 }
 
-/// Lets idle VMs load what the next repair will most likely ask for.
-fn warm_spares(
+/// Orders an idle VM to load the weights that the next repair most likely needs.
+fn order_warm_up(
     record: &DomainRecord,
     context: &AdvanceContext<'_>,
     term: u64,
@@ -157,13 +160,13 @@
         .groups
         .values()
         .any(|group| group.phase == GroupPhase::Forming);
-    let models = exposed_models(record);
+    let models = models_by_vm_count(record);
     if is_forming || models.is_empty() {
         return;
     }
-    let free = context.usable_vms(record, None);
-    for (index, vm) in free.iter().enumerate() {
-        let Some(model) = missing_model(context, vm, index, &models) else {
+    let free_vms = context.usable_vms(record, None);
+    for (index, vm) in free_vms.iter().enumerate() {
+        let Some(model) = next_warm_model(context, vm, index, &models) else {
             continue;
         };
         let order = VmOrder {
@@ -175,41 +178,44 @@
             },
         };
         orders.push((vm.clone(), order));
-        // One at a time: a repair must never wait behind a spare.
+        // Only one spare loads at a time, so that repairs never wait for spares.
         return;
     }
 }
 
-/// The first model that a spare should hold and does not. Spares begin at different models, so
-/// that together they cover as many as they can.
-fn missing_model<'a>(
+/// Returns the first model that the spare at `index` should hold but does not. Each spare starts at
+/// a different model, so that together they cover as many models as possible.
+fn next_warm_model<'a>(
     context: &AdvanceContext<'_>,
     vm: &VmId,
     index: usize,
     models: &'a [ModelRef],
 ) -> Option<&'a ModelRef> {
-    let (_, report) = context.views.get(vm)?.report.as_ref()?;
+    let (_, report) = context.views.get(vm)?.last_report.as_ref()?;
     if report.phase != EnginePhase::Idle {
         return None;
     }
-    let held = context.options.models_per_spare.min(models.len());
-    (0..held)
-        .map(|step| &models[(index * held + step) % models.len()])
+    let models_per_spare = context.options.models_per_spare.min(models.len());
+    (0..models_per_spare)
+        .map(|step| &models[(index * models_per_spare + step) % models.len()])
         .find(|model| !report.warm.contains(model))
 }
 
-/// The models of serving groups, those on the most VMs first.
-fn exposed_models(record: &DomainRecord) -> Vec<ModelRef> {
-    let mut exposure: Vec<(u32, ModelRef)> = Vec::new();
+/// Returns the models of serving groups, those that run on the most VMs first.
+fn models_by_vm_count(record: &DomainRecord) -> Vec<ModelRef> {
+    let mut vm_counts: Vec<(u32, ModelRef)> = Vec::new();
     for group in record.groups.values() {
         if group.phase != GroupPhase::Serving {
             continue;
         }
-        match exposure.iter_mut().find(|(_, model)| *model == group.model) {
+        match vm_counts
+            .iter_mut()
+            .find(|(_, model)| *model == group.model)
+        {
             Some((vms, _)) => *vms += group.size,
-            None => exposure.push((group.size, group.model.clone())),
+            None => vm_counts.push((group.size, group.model.clone())),
         }
     }
-    exposure.sort_by_key(|(vms, _)| std::cmp::Reverse(*vms));
-    exposure.into_iter().map(|(_, model)| model).collect()
+    vm_counts.sort_by_key(|(vms, _)| std::cmp::Reverse(*vms));
+    vm_counts.into_iter().map(|(_, model)| model).collect()
 }
--- a/crates/placement/src/quota.rs
+++ b/crates/placement/src/quota.rs
@@ -1,8 +1,8 @@
-//! How the wanted replicas are shared out over fabric domains.
+//! Distributes the wanted replicas over fabric domains.
 //!
-//! Every coordinator works this out alone from the bundle, the VM list and the records. Their
-//! views differ for moments; the worst that brings is a surplus group, which is held and then
-//! released.
+//! Every coordinator computes the distribution on its own from the bundle, the VM list and the
+//! records. Their inputs may differ for a moment. At worst this forms a surplus group, which is
+//! kept for a while and then released.
 
 use bergamot_bundle::ModelSpec;
 use bergamot_types::prelude::*;
@@ -10,31 +10,31 @@
 
 use crate::record::ModelRef;
 
-/// One model as one fabric domain should run it.
+/// A model that a fabric domain should run.
 #[derive(Clone, PartialEq, Debug)]
 pub struct WantedModel {
-    /// What to run.
+    /// The model.
     pub model: ModelRef,
-    /// VMs in each group.
+    /// Number of VMs in each group.
     pub size: u32,
-    /// Groups here.
+    /// Number of groups in this fabric domain.
     pub count: u32,
-    /// 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
 }
 
-/// What one fabric domain could hold.
+/// Capacity of a fabric domain.
 #[derive(Clone, PartialEq, Debug, Default)]
 pub struct DomainCapacity {
-    /// VMs that could be in groups, including those that are.
+    /// Number of VMs that are in groups or could be.
     pub vms: u32,
-    /// Groups it has or forms, by model name, whatever their version.
+    /// Number of forming and serving groups by model name, of any version.
     pub groups: IndexMap<ModelName, u32>,
-    /// Whether it is thought lost as a whole; it then gets nothing new.
+    /// Whether the whole fabric domain is considered lost, so that it gets no groups.
     pub is_lost: bool,
 }
 
-/// The model as groups name it.
+/// Returns the reference by which groups name the model.
 pub fn model_ref(spec: &ModelSpec) -> ModelRef {
     ModelRef {
         name: spec.name.clone(),
@@ -43,27 +43,28 @@
     }
 }
 
-/// Shares out the replicas of all models, most urgent first.
+/// Distributes the replicas of all models over fabric domains, most urgent models first.
 ///
-/// A domain keeps the groups it has as far as they are wanted; the rest go one by one to the
-/// domain with the most room, ties by rendezvous score. Costs models x replicas x domains.
+/// A fabric domain keeps its groups as far as they are wanted. Each further replica goes to the
+/// domain with the most free VMs; rendezvous hashing breaks ties. The cost grows with the product
+/// of models, replicas and fabric domains.
 pub fn distribute_replicas(
     models: &[ModelSpec],
     domains: &IndexMap<FabricDomain, DomainCapacity>,
 ) -> IndexMap<FabricDomain, Vec<WantedModel>> {
-    let mut room: IndexMap<&FabricDomain, u32> = domains
+    let mut free_vms: IndexMap<&FabricDomain, u32> = domains
         .iter()
         .filter(|(_, capacity)| !capacity.is_lost)
         .map(|(fabric, capacity)| (fabric, capacity.vms))
         .collect();
-    let mut shares: IndexMap<FabricDomain, Vec<WantedModel>> = domains
+    let mut assignments: IndexMap<FabricDomain, Vec<WantedModel>> = domains
         .keys()
         .map(|fabric| (fabric.clone(), Vec::new()))
         .collect();
     let mut ordered: Vec<&ModelSpec> = models.iter().collect();
     ordered.sort_by_key(|spec| (spec.priority, spec.name.clone()));
     for spec in ordered {
-        let counts = share_one(spec, domains, &mut room);
+        let counts = distribute_model(spec, domains, &mut free_vms);
         for (fabric, count) in counts {
             let wanted = WantedModel {
                 model: model_ref(spec),
@@ -71,32 +72,32 @@
                 count,
                 priority: spec.priority,
             };
-            if let Some(share) = shares.get_mut(fabric) {
-                share.push(wanted);
+            if let Some(assigned) = assignments.get_mut(fabric) {
+                assigned.push(wanted);
             }
         }
     }
-    shares
+    assignments
 }
 
-fn share_one<'a>(
+fn distribute_model<'a>(
     spec: &ModelSpec,
     domains: &IndexMap<FabricDomain, DomainCapacity>,
-    room: &mut IndexMap<&'a FabricDomain, u32>,
+    free_vms: &mut IndexMap<&'a FabricDomain, u32>,
 ) -> IndexMap<&'a FabricDomain, u32> {
     let size = spec.vms_per_replica.max(1);
-    let mut left = spec.replicas;
-    let mut counts: IndexMap<&FabricDomain, u32> = room.keys().map(|f| (*f, 0)).collect();
+    let mut remaining = spec.replicas;
+    let mut counts: IndexMap<&FabricDomain, u32> = free_vms.keys().map(|f| (*f, 0)).collect();
     let key = hash_bytes(spec.name.as_str().as_bytes());
-    for (fabric, free) in room.iter_mut() {
-        let has = domains[*fabric].groups.get(&spec.name).copied();
-        let kept = has.unwrap_or(0).min(left).min(*free / size);
+    for (fabric, free) in free_vms.iter_mut() {
+        let existing = domains[*fabric].groups.get(&spec.name).copied();
+        let kept = existing.unwrap_or(0).min(remaining).min(*free / size);
         counts[fabric] += kept;
         *free -= kept * size;
-        left -= kept;
+        remaining -= kept;
     }
-    while left > 0 {
-        let best = room
+    while remaining > 0 {
+        let best = free_vms
             .iter_mut()
             .filter(|(_, free)| **free >= size)
             .max_by_key(|(fabric, free)| (**free, rendezvous_score(key, fabric.as_str())));
@@ -105,7 +106,7 @@
         };
         *free -= size;
         counts[fabric] += 1;
-        left -= 1;
+        remaining -= 1;
     }
     counts
 }
--- a/crates/placement/src/record.rs
+++ b/crates/placement/src/record.rs
@@ -1,4 +1,4 @@
-//! The record of one fabric domain: every VM and every group in it.
+//! The record of one fabric domain, with all its VMs and groups.
 
 use std::net::SocketAddr;
 
@@ -6,96 +6,96 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-/// What a group's engines run.
+/// The model that a group's engines run.
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Serialize, Deserialize)]
 pub struct ModelRef {
     /// The model's name.
     pub name: ModelName,
     /// Version of the weights.
     pub version: String,
-    /// Adapter on top, if any.
+    /// Adapter that is loaded on top of the weights.
     pub adapter: Option<String>,
 }
 
-/// What a VM is used for. The only place where membership is written.
+/// How a VM is used. Group membership is recorded nowhere else.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmUse {
-    /// In no group, free for one once its engine was seen idle.
+    /// In no group. May join a group once its engine has reported that it is idle.
     Free,
     /// A member of the group.
     Member(GroupId),
-    /// No member any more, but not yet seen outside the group.
+    /// Removed from the group, but its engine has not yet reported that it left.
     Evicted(GroupId),
 }
 
 /// One VM of the fabric domain.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct VmSlot {
-    /// What it is used for.
+    /// How the VM is used.
     pub usage: VmUse,
-    /// Where its engine listens.
+    /// Address of the VM's engine.
     pub addr: SocketAddr,
-    /// Accelerators in it.
+    /// Number of accelerators of the VM.
     pub accelerators: u32,
 }
 
-/// Where a group is in its life.
+/// Phase of a group's life cycle.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum GroupPhase {
-    /// Members are reserved; they join and load.
+    /// Members are reserved; they join and load the model.
     Forming,
-    /// Every member was seen ready: requests may be routed to it.
+    /// Every member has reported that it is ready; requests may be routed to the group.
     Serving,
-    /// No new requests; those in flight end.
+    /// The group gets no new requests; requests in flight complete.
     Draining,
-    /// Members are told to leave.
+    /// Members are ordered to leave.
     Releasing,
 }
 
 /// One replica group.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct GroupRecord {
-    /// What it runs.
+    /// The model that the group runs.
     pub model: ModelRef,
-    /// The roll it was formed for.
+    /// The roll that the group was formed for.
     pub roll: u64,
-    /// Grows with each change of members.
+    /// Increases with each change of members.
     pub epoch: u32,
-    /// Members it needs.
+    /// Number of members that the group needs.
     pub size: u32,
-    /// 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Where it is in its life.
+    /// Phase of the group's life cycle.
     pub phase: GroupPhase,
 }
 
-/// The record of a fabric domain in the key-value service.
+/// The record of a fabric domain in the key-value store.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct DomainRecord {
     /// The fabric domain.
     pub fabric: FabricDomain,
-    /// The failure domain it is in.
+    /// The failure domain that contains the fabric domain.
     pub failure_domain: FailureDomain,
-    /// Grows with each new coordinator; the fencing number of its orders.
+    /// Increases with each new coordinator; the fencing token of its orders.
     pub term: u64,
-    /// Who coordinates.
+    /// The entry VM that coordinates the fabric domain.
     pub coordinator: EntryId,
-    /// Which run of the coordinator.
+    /// Incarnation of the coordinator.
     pub incarnation: u64,
-    /// Names the writer's attempt.
+    /// Identifies the attempt to write this record.
     pub nonce: u64,
-    /// Counts groups, so that no id is used twice.
+    /// Number of the next group, so that no group id is used twice.
     pub next_group: u64,
-    /// Every VM of the fabric domain.
+    /// All VMs of the fabric domain.
     pub vms: IndexMap<VmId, VmSlot>,
-    /// Every group.
+    /// All groups of the fabric domain.
     pub groups: IndexMap<GroupId, GroupRecord>,
 }
 
 impl DomainRecord {
-    /// An empty record, before its first coordinator.
+    /// Creates an empty record that has no coordinator yet.
     pub fn empty(fabric: FabricDomain, failure_domain: FailureDomain) -> Self {
         Self {
             fabric,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// The members of a group; the first is its leader, which takes the requests.
+    /// Returns the members of a group. The first one is the leader, which receives the requests.
     pub fn members<'a>(
         &'a self,
         group: &'a GroupId,
@@ -120,7 +120,7 @@
             .filter(move |(_, slot)| matches!(&slot.usage, VmUse::Member(id) if id == group))
     }
 
-    /// The member that takes the group's requests.
+    /// Returns the member that receives the group's requests.
     pub fn leader<'a>(&'a self, group: &'a GroupId) -> Option<(&'a VmId, &'a VmSlot)> {
         self.members(group).next()
     }
@@ -132,7 +132,7 @@
             .is_some_and(|group| self.members(id).count() == group.size as usize)
     }
 
-    /// Reserves `vms` in a new group.
+    /// Adds a group with the members `vms` and returns its id.
     pub fn form(&mut self, group: GroupRecord, vms: &[VmId]) -> GroupId {
         let id = GroupId::from(format!("{}.{}", self.fabric, self.next_group));
         self.next_group += 1;
@@ -141,7 +141,7 @@
         id
     }
 
-    /// Makes free `vms` members of a group.
+    /// Adds the free `vms` to a group.
     pub fn add_members(&mut self, id: &GroupId, vms: &[VmId]) {
         for vm in vms {
             let Some(slot) = self.vms.get_mut(vm) else {
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Takes a member out; it becomes free once it is seen outside the group.
+    /// Removes a member from its group. The VM becomes free once its engine reports that it left.
     pub fn evict(&mut self, vm: &VmId) {
         let Some(slot) = self.vms.get_mut(vm) else {
             return;
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Removes a group whose members were all seen outside.
+    /// Removes a group after all its members have reported that they left.
     pub fn dissolve(&mut self, id: &GroupId) {
         for slot in self.vms.values_mut() {
             if matches!(&slot.usage, VmUse::Member(group) if group == id) {
@@ -174,23 +174,29 @@
         self.groups.shift_remove(id);
     }
 
-    /// What is wrong with the record, if anything.
+    /// Returns the first inconsistency in the record.
     pub fn problem(&self) -> Option<String> {
         for (vm, slot) in &self.vms {
             let VmUse::Member(group) = &slot.usage else {
                 continue;
             };
             if !self.groups.contains_key(group) {
-                return Some(format!("vm {vm} is in the unknown group {group}"));
+                return Some(format!("VM {vm} is a member of the unknown group {group}"));
             }
         }
         for (id, group) in &self.groups {
             let count = self.members(id).count();
             if count > group.size as usize {
-                return Some(format!("group {id} has {count} members of {}", group.size));
+                return Some(format!(
+                    "group {id} has {count} members, limit {}",
+                    group.size
+                ));
             }
             if group.phase == GroupPhase::Serving && count != group.size as usize {
-                return Some(format!("group {id} serves with {count} of {}", group.size));
+                return Some(format!(
+                    "group {id} serves with {count} of {} members",
+                    group.size
+                ));
             }
         }
         None
--- a/crates/placement/src/repair.rs
+++ b/crates/placement/src/repair.rs
@@ -1,13 +1,13 @@
-//! What to do about groups that lack members.
+//! Repairs groups that lack members.
 
 use bergamot_types::prelude::*;
 
 use crate::advance::AdvanceContext;
-use crate::cost::{StealContext, steal_gain};
+use crate::cost::{TransferContext, transfer_gain};
 use crate::options::RepairPolicy;
 use crate::record::{DomainRecord, GroupPhase};
 
-/// Takes dead members out of groups and groups that lost one out of service.
+/// Evicts dead members, and takes groups that lost a member out of service.
 pub(crate) fn evict_dead(record: &mut DomainRecord, context: &AdvanceContext<'_>) {
     let ids: Vec<GroupId> = record.groups.keys().cloned().collect();
     for id in ids {
@@ -23,15 +23,13 @@
         for vm in &dead {
             record.evict(vm);
         }
-        let is_short = record.members(&id).count() < group_size(record, &id);
-        let has_dropped = record
-            .members(&id)
-            .any(|(vm, _)| context.has_dropped(vm, &id));
+        let is_incomplete = record.members(&id).count() < group_size(record, &id);
+        let has_member_left = record.members(&id).any(|(vm, _)| context.has_left(vm, &id));
         let group = &mut record.groups[&id];
         match group.phase {
-            // What was in flight died with the member, so there is nothing to drain for.
-            GroupPhase::Draining if is_short => group.phase = GroupPhase::Releasing,
-            GroupPhase::Serving if is_short || has_dropped => {
+            // The requests in flight failed with the lost member, so no drain is needed.
+            GroupPhase::Draining if is_incomplete => group.phase = GroupPhase::Releasing,
+            GroupPhase::Serving if is_incomplete || has_member_left => {
                 group.phase = GroupPhase::Forming;
                 group.epoch += 1;
             }
@@ -45,7 +43,7 @@
     record.groups[id].size as usize
 }
 
-/// Gives broken groups what they lack, most urgent first.
+/// Fills up broken groups, most urgent first.
 pub(crate) fn repair_groups(record: &mut DomainRecord, context: &AdvanceContext<'_>) {
     let mut broken: Vec<GroupId> = record
         .groups
@@ -53,8 +51,8 @@
         .filter(|(id, group)| group.phase == GroupPhase::Forming && !record.is_full(id))
         .map(|(id, _)| id.clone())
         .collect();
-    // Groups that lack the fewest come first among equals: they are up again soonest.
-    broken.sort_by_key(|id| (record.groups[id].priority, missing(record, id)));
+    // Among groups of equal priority, those that lack the fewest members serve again soonest.
+    broken.sort_by_key(|id| (record.groups[id].priority, missing_members(record, id)));
     if context.options.policy == RepairPolicy::RebuildFirstFit {
         for id in broken {
             record.groups[&id].phase = GroupPhase::Releasing;
@@ -65,20 +63,20 @@
         if fill_from_spares(record, context, id) {
             continue;
         }
-        let is_helped = record
+        let is_release_underway = record
             .groups
             .iter()
             .any(|(_, group)| matches!(group.phase, GroupPhase::Draining | GroupPhase::Releasing));
-        if is_helped {
-            // VMs are on their way to the pool already.
+        if is_release_underway {
+            // Other VMs will be free soon.
             return;
         }
-        // Packing: the last of the broken groups gives its members to the first ones.
-        let packed = broken[index + 1..]
+        // Packing: the last broken group with enough members gives them to the first one.
+        let broken_donor = broken[index + 1..]
             .iter()
             .rev()
-            .find(|donor| alive(record, donor) >= missing(record, id) as usize);
-        if let Some(donor) = packed {
+            .find(|donor| member_count(record, donor) >= missing_members(record, id) as usize);
+        if let Some(donor) = broken_donor {
             record.groups[donor].phase = GroupPhase::Releasing;
             return;
         }
@@ -89,50 +87,51 @@
     }
 }
 
-fn alive(record: &DomainRecord, id: &GroupId) -> usize {
+fn member_count(record: &DomainRecord, id: &GroupId) -> usize {
     record.members(id).count()
 }
 
-fn missing(record: &DomainRecord, id: &GroupId) -> u32 {
-    record.groups[id].size - alive(record, id) as u32
+fn missing_members(record: &DomainRecord, id: &GroupId) -> u32 {
+    record.groups[id].size - member_count(record, id) as u32
 }
 
+/// Fills up a group from free VMs. Returns false if there are too few of them.
 fn fill_from_spares(record: &mut DomainRecord, context: &AdvanceContext<'_>, id: &GroupId) -> bool {
-    let need = missing(record, id) as usize;
+    let missing = missing_members(record, id) as usize;
     let model = record.groups[id].model.clone();
     let spares = context.usable_vms(record, Some(&model));
-    if spares.len() < need {
+    if spares.len() < missing {
         return false;
     }
-    record.add_members(id, &spares[..need]);
+    record.add_members(id, &spares[..missing]);
     record.groups[id].epoch += 1;
     true
 }
 
-/// The healthy group whose VMs are worth more in the broken one, if any is.
+/// Returns the less urgent healthy group whose VMs gain the most in the broken group, if any gain.
 fn healthy_donor(
     record: &DomainRecord,
     context: &AdvanceContext<'_>,
     broken: &GroupId,
 ) -> Option<GroupId> {
-    let need = missing(record, broken);
+    let missing = missing_members(record, broken);
     let priority = record.groups[broken].priority;
     let gain = |donor: &GroupId| {
         let group = &record.groups[donor];
-        let steal = StealContext {
+        let transfer = TransferContext {
             broken_priority: priority,
-            broken_alive: alive(record, broken) as u32,
-            broken_missing: need,
+            broken_alive: member_count(record, broken) as u32,
+            broken_missing: missing,
             donor_priority: group.priority,
             donor_size: group.size,
         };
-        steal_gain(context.options, &steal)
+        transfer_gain(context.options, &transfer)
     };
     record
         .groups
         .iter()
         .filter(|(_, group)| group.phase == GroupPhase::Serving)
-        .filter(|(_, group)| group.priority > priority && group.size >= need)
+        .filter(|(_, group)| group.priority > priority && group.size >= missing)
         .map(|(id, _)| (gain(id), id))
         .filter(|(gain, _)| *gain > 0.0)
         .max_by(|a, b| a.0.total_cmp(&b.0))
--- a/crates/placement/src/report.rs
+++ b/crates/placement/src/report.rs
@@ -1,11 +1,11 @@
-//! What engines report and what they are ordered to do.
+//! Reports from engines and orders to engines.
 
 use bergamot_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
 use crate::record::ModelRef;
 
-/// What an engine is doing.
+/// State of an engine.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EnginePhase {
@@ -16,76 +16,76 @@
     Loading,
     /// In a group, able to serve.
     Ready,
-    /// In a group, taking no new requests.
+    /// In a group, accepting no new requests.
     Draining,
 }
 
-/// One engine's report of itself. Its load lags behind reality.
+/// An engine's report on its own state. The load figures lag behind.
 #[derive(Clone, PartialEq, Debug, Default, Serialize, Deserialize)]
 pub struct EngineReport {
-    /// The group it thinks it is in.
+    /// The group that the engine believes it is in.
     pub group: Option<GroupId>,
-    /// The epoch of that group it joined.
+    /// The epoch of the group in which the engine joined.
     pub epoch: u32,
-    /// The newest term it took an order of.
+    /// The newest term whose orders the engine has accepted.
     pub term: u64,
-    /// What it runs.
+    /// The model that the engine runs.
     pub model: Option<ModelRef>,
-    /// What it is doing.
+    /// State of the engine.
     pub phase: EnginePhase,
-    /// Requests it is generating for.
+    /// Number of requests that the engine generates output for.
     pub running: u32,
-    /// Requests it has queued.
+    /// Number of requests in the engine's queue.
     pub queued: u32,
-    /// Models whose weights it holds in memory.
+    /// Models whose weights the engine holds in memory.
     #[serde(default)]
     pub warm: Vec<ModelRef>,
 }
 
 impl EngineReport {
-    /// Whether the engine says it is ready in this epoch of this group.
+    /// Whether the engine reports that it is ready in this epoch of the group.
     pub fn is_ready_in(&self, group: &GroupId, epoch: u32) -> bool {
         self.is_in(group, epoch) && self.phase == EnginePhase::Ready
     }
 
-    /// Whether the engine says it is in this epoch of this group.
+    /// Whether the engine reports that it is in this epoch of the group.
     pub fn is_in(&self, group: &GroupId, epoch: u32) -> bool {
         self.group.as_ref() == Some(group) && self.epoch == epoch
     }
 }
 
-/// What an engine is told to do.
+/// The operation that an order requests.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum OrderKind {
     /// Join the group and load the model.
     Join {
-        /// What to run.
+        /// The model to run.
         model: ModelRef,
         /// All members, the leader first.
         members: Vec<VmId>,
     },
-    /// Take no new requests.
+    /// Accept no new requests.
     Drain,
     /// Leave the group.
     Leave,
-    /// Hold the weights in memory without joining a group.
+    /// Load the weights into memory without joining a group.
     Warm {
-        /// What to hold.
+        /// The model to load.
         model: ModelRef,
     },
 }
 
-/// An order with the numbers that fence it.
+/// An order with its fencing token.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct VmOrder {
-    /// Which group it is about; none for [`OrderKind::Warm`].
+    /// The group that the order concerns; none for [`OrderKind::Warm`].
     pub group: Option<GroupId>,
-    /// Which epoch of the group.
+    /// Epoch of the group.
     pub epoch: u32,
-    /// The coordinator's term.
+    /// Term of the coordinator, which is the fencing token.
     pub term: u64,
-    /// What to do.
+    /// The operation.
     #[serde(flatten)]
     pub kind: OrderKind,
 }
--- a/crates/placement/src/state.rs
+++ b/crates/placement/src/state.rs
@@ -1,12 +1,12 @@
-//! One entry VM's part in coordinating one fabric domain.
+//! State of one entry VM for one fabric domain, which it may coordinate.
 
-mod notes;
+mod history;
 mod swaps;
 
 use bergamot_types::prelude::*;
 use indexmap::IndexMap;
 
-use crate::advance::{AdvanceContext, DrainTimes, advance};
+use crate::advance::{AdvanceContext, DrainProgress, advance};
 use crate::event::{PlacementAction, PlacementEvent};
 use crate::fence::TermFence;
 use crate::options::PlacementOptions;
@@ -14,103 +14,112 @@
 use crate::quota::WantedModel;
 use crate::record::DomainRecord;
 use crate::report::VmOrder;
-use crate::views::{ListedState, VmView};
+use crate::views::{ListingState, VmView};
 
-/// A swap that is on its way.
+/// A swap whose outcome is not known yet.
 #[derive(Clone, Debug)]
 struct PendingSwap {
     record: DomainRecord,
-    sent: Millis,
+    /// When the swap was sent, or when it was given up if its outcome is unknown.
+    sent_at: Millis,
+    /// Whether the reply was lost, so that a read must settle the outcome.
     is_unknown: bool,
+    /// Whether the swap starts a new term.
     is_takeover: bool,
 }
 
-/// One entry VM's view of one fabric domain, and its work if it coordinates it.
+/// One entry VM's view of a fabric domain, and the coordination of the domain if the VM leads it.
 #[derive(Clone, Debug)]
 pub struct PlacementState {
-    me: EntryId,
+    own_entry: EntryId,
     incarnation: u64,
     fabric: FabricDomain,
     failure_domain: FailureDomain,
     options: PlacementOptions,
     record: Option<DomainRecord>,
     revision: i64,
-    is_read: bool,
+    /// Whether `record` is known to be current.
+    is_record_read: bool,
     fence: TermFence,
-    leads: bool,
+    /// Whether this VM should coordinate the fabric domain.
+    should_lead: bool,
     views: IndexMap<VmId, VmView>,
     wanted: Option<Vec<WantedModel>>,
     roll: u64,
     may_replace: bool,
-    pending: Option<PendingSwap>,
+    pending_swap: Option<PendingSwap>,
     next_nonce: u64,
-    ordered: IndexMap<VmId, (Millis, VmOrder)>,
-    draining_since: IndexMap<GroupId, DrainTimes>,
+    /// The last order to each VM, with the time when it was sent.
+    last_orders: IndexMap<VmId, (Millis, VmOrder)>,
+    drains: IndexMap<GroupId, DrainProgress>,
     surplus_since: IndexMap<ModelName, Millis>,
-    read_asked: Option<Millis>,
-    leads_since: Option<Millis>,
-    term_since: Option<(u64, Millis)>,
+    /// When the read was requested that has not been answered.
+    read_requested_at: Option<Millis>,
+    should_lead_since: Option<Millis>,
+    /// The record's term, with the time when it was first seen.
+    term_first_seen: Option<(u64, Millis)>,
 }
 
-/// Time a VM must have led, and a term have stood, before the VM takes the record over.
+/// How long a VM must have been designated to lead, and the current term must have lasted, before
+/// the VM takes over the record.
 ///
-/// Rosters differ for moments; without it two VMs that both think they lead take the record from
-/// each other with every message.
+/// Rosters differ between VMs for a moment. Without this delay, two VMs that both consider
+/// themselves the leader would take over the record from each other with every message.
 const TAKEOVER_HOLD: Millis = Millis(1_500);
-/// Reads of the VM list in a row that must lack a VM before it counts as gone.
-const MISSING_LOOKS: u32 = 2;
-/// Time between two reads of a record that is wanted anew.
+/// Number of consecutive reads of the VM list that must lack a VM before it counts as delisted.
+const DELIST_AFTER_READS: u32 = 2;
+/// Minimum time between two reads of the record.
 const READ_PERIOD: Millis = Millis(500);
-/// VMs below which silence of many at once is not taken for the loss of the fabric domain.
-const STORM_FLOOR: usize = 4;
+/// With fewer VMs, no number of unresponsive ones counts as the loss of the fabric domain.
+const MIN_STORM_VMS: usize = 4;
 
 impl PlacementState {
-    /// A view of a fabric domain of which nothing is known yet.
+    /// Creates the state for a fabric domain that nothing is known about yet.
     pub fn new(
-        me: EntryId,
+        own_entry: EntryId,
         incarnation: u64,
         fabric: FabricDomain,
         failure_domain: FailureDomain,
         options: PlacementOptions,
     ) -> Self {
-        let next_nonce = hash_bytes(format!("{me}/{incarnation}/{fabric}").as_bytes());
+        let next_nonce = hash_bytes(format!("{own_entry}/{incarnation}/{fabric}").as_bytes());
         Self {
-            me,
+            own_entry,
             incarnation,
             fabric,
             failure_domain,
             options,
             record: None,
             revision: 0,
-            is_read: false,
+            is_record_read: false,
             fence: TermFence::default(),
-            leads: false,
+            should_lead: false,
             views: IndexMap::new(),
             wanted: None,
             roll: 0,
             may_replace: true,
-            pending: None,
+            pending_swap: None,
             next_nonce,
-            ordered: IndexMap::new(),
-            draining_since: IndexMap::new(),
+            last_orders: IndexMap::new(),
+            drains: IndexMap::new(),
             surplus_since: IndexMap::new(),
-            read_asked: None,
-            leads_since: None,
-            term_since: None,
+            read_requested_at: None,
+            should_lead_since: None,
+            term_first_seen: None,
         }
     }
 
-    /// The newest record known, if any.
+    /// Returns the newest known record.
     pub fn record(&self) -> Option<&DomainRecord> {
         self.record.as_ref()
     }
 
-    /// The revision of that record.
+    /// Returns the revision of the newest known record.
     pub fn revision(&self) -> i64 {
         self.revision
     }
 
-    /// What is known of each VM.
+    /// Returns what is known about each VM.
     pub fn views(&self) -> &IndexMap<VmId, VmView> {
         &self.views
     }
@@ -120,26 +129,26 @@
         self.fence.term().is_some()
     }
 
-    /// Whether so much of the fabric domain is silent at once that it counts as lost.
+    /// Whether so many VMs are unresponsive at once that the fabric domain counts as lost.
     pub fn is_storm(&self, now: Millis) -> bool {
         let listed = self
             .views
             .values()
-            .filter(|view| view.listed != ListedState::Gone);
-        let (mut all, mut silent) = (0_usize, 0_usize);
+            .filter(|view| view.listing != ListingState::Delisted);
+        let (mut total, mut unresponsive) = (0_usize, 0_usize);
         for view in listed {
-            // A VM that was never heard says nothing about a loss.
-            if view.report.is_none() {
+            // A VM that has never answered is no evidence of a loss.
+            if view.last_report.is_none() {
                 continue;
             }
-            all += 1;
+            total += 1;
             let is_dead = view.is_dead(now, &self.options);
-            silent += usize::from(is_dead);
+            unresponsive += usize::from(is_dead);
         }
-        all >= STORM_FLOOR && silent as f64 > all as f64 * self.options.storm_share
+        total >= MIN_STORM_VMS && unresponsive as f64 > total as f64 * self.options.storm_share
     }
 
-    /// Takes one event and says what to do.
+    /// Handles an event and returns the actions to take.
     pub fn handle(&mut self, now: Millis, event: PlacementEvent) -> Vec<PlacementAction> {
         match event {
             PlacementEvent::Tick => return self.tick(now),
@@ -147,17 +156,17 @@
                 record,
                 revision,
                 started,
-            } => self.take_record(now, record, revision, started),
-            PlacementEvent::Swapped { nonce, outcome } => self.take_swap(now, nonce, &outcome),
-            PlacementEvent::Listed(listings) => self.take_list(now, &listings),
+            } => self.apply_record(now, record, revision, started),
+            PlacementEvent::Swapped { nonce, outcome } => self.apply_swap(now, nonce, &outcome),
+            PlacementEvent::Listed(listings) => self.apply_vm_list(now, &listings),
             PlacementEvent::Report { vm, asked, report } => {
                 if let Some(view) = self.views.get_mut(&vm) {
-                    view.note_report(asked, report);
+                    view.record_report(asked, report);
                 }
             }
             PlacementEvent::Unanswered { vm, asked } => {
                 if let Some(view) = self.views.get_mut(&vm) {
-                    view.note_silence(asked);
+                    view.record_unanswered(asked);
                 }
             }
             PlacementEvent::Wanted {
@@ -171,39 +180,42 @@
                     self.may_replace = may_replace;
                 }
             }
-            PlacementEvent::Lead(leads) => {
-                let since = self.leads_since.filter(|_| leads && self.leads);
-                self.leads_since = leads.then(|| since.unwrap_or(now));
-                self.leads = leads;
+            PlacementEvent::Lead(should_lead) => {
+                let since = self
+                    .should_lead_since
+                    .filter(|_| should_lead && self.should_lead);
+                self.should_lead_since = should_lead.then(|| since.unwrap_or(now));
+                self.should_lead = should_lead;
             }
-            // What an order did shows in the next report; until that is due it is not repeated.
+            // The effect of an order shows in the next report. The order is not repeated before
+            // that report is due.
             PlacementEvent::Ordered { .. } => {}
         }
         Vec::new()
     }
 
-    fn take_record(
+    fn apply_record(
         &mut self,
         now: Millis,
         record: Option<DomainRecord>,
         revision: i64,
-        started: Millis,
+        started_at: Millis,
     ) {
-        self.read_asked = None;
-        self.is_read = true;
+        self.read_requested_at = None;
+        self.is_record_read = true;
         if revision < self.revision {
             return;
         }
-        self.settle_unknown(now, record.as_ref(), revision, started);
+        self.settle_unknown_swap(now, record.as_ref(), revision, started_at);
         self.revision = revision;
         self.record = record;
-        let is_mine = self.holds_record();
-        match (is_mine, self.fence.term()) {
-            (true, Some(_)) => self.fence.confirm(started),
+        let is_own = self.holds_record();
+        match (is_own, self.fence.term()) {
+            (true, Some(_)) => self.fence.confirm(started_at),
             (true, None) => {}
             (false, _) => self.fence.lose(),
         }
-        self.note_phases(now);
+        self.track_phases(now);
     }
 
     fn context(&self, now: Millis) -> AdvanceContext<'_> {
@@ -214,56 +226,58 @@
             wanted: self.wanted.as_deref(),
             roll: self.roll,
             may_replace: self.may_replace,
-            draining_since: &self.draining_since,
+            drains: &self.drains,
             surplus_since: &self.surplus_since,
-            quiet_until: self.fence.quiet_until(),
+            handover_until: self.fence.handover_until(),
             is_storm: self.is_storm(now),
         }
     }
 
     fn tick(&mut self, now: Millis) -> Vec<PlacementAction> {
-        if !self.leads {
+        if !self.should_lead {
             return Vec::new();
         }
         let mut actions = Vec::new();
-        if self.wants_read(now) {
-            self.read_asked = Some(now);
+        if self.needs_read(now) {
+            self.read_requested_at = Some(now);
             actions.push(PlacementAction::Read);
         }
-        if !self.is_read {
+        if !self.is_record_read {
             return actions;
         }
-        self.note_surplus(now);
-        self.note_drains();
-        if self.pending.is_none() {
+        self.track_surplus(now);
+        self.track_drains();
+        if self.pending_swap.is_none() {
             actions.extend(self.next_swap(now));
         }
-        self.give_orders(now, &mut actions);
+        self.send_orders(now, &mut actions);
         actions
     }
 
-    fn wants_read(&self, now: Millis) -> bool {
-        let is_asked = self
-            .read_asked
-            .is_some_and(|asked| now.since(asked) < READ_PERIOD);
+    fn needs_read(&self, now: Millis) -> bool {
+        let is_requested = self
+            .read_requested_at
+            .is_some_and(|requested_at| now.since(requested_at) < READ_PERIOD);
         let is_stale = self
             .fence
-            .wants_confirmation(now, self.options.confirm_bound);
-        // A read that began before the swap was given up settles nothing.
+            .needs_confirmation(now, self.options.confirm_bound);
+        // A read that began before the swap was given up does not settle its outcome.
         let is_unsettled = self
-            .pending
+            .pending_swap
             .as_ref()
             .is_some_and(|pending| pending.is_unknown);
-        !is_asked && (!self.is_read || is_stale || is_unsettled)
+        !is_requested && (!self.is_record_read || is_stale || is_unsettled)
     }
 
     fn may_take_over(&self, now: Millis) -> bool {
-        let has_stood = |since: Millis| now.since(since) >= TAKEOVER_HOLD;
+        let has_held = |since: Millis| now.since(since) >= TAKEOVER_HOLD;
         match self.record {
             None => true,
             Some(_) => {
-                self.leads_since.is_some_and(has_stood)
-                    && self.term_since.is_none_or(|(_, since)| has_stood(since))
+                self.should_lead_since.is_some_and(has_held)
+                    && self
+                        .term_first_seen
+                        .is_none_or(|(_, since)| has_held(since))
             }
         }
     }
@@ -285,7 +299,7 @@
                     || DomainRecord::empty(self.fabric.clone(), self.failure_domain.clone());
                 let mut next = current.clone().unwrap_or_else(empty);
                 next.term += 1;
-                next.coordinator = self.me.clone();
+                next.coordinator = self.own_entry.clone();
                 next.incarnation = self.incarnation;
                 (next, true)
             }
@@ -297,9 +311,9 @@
         if problem.is_some() {
             return None;
         }
-        self.pending = Some(PendingSwap {
+        self.pending_swap = Some(PendingSwap {
             record: next.clone(),
-            sent: now,
+            sent_at: now,
             is_unknown: false,
             is_takeover,
         });
@@ -309,13 +323,13 @@
         })
     }
 
-    fn give_orders(&mut self, now: Millis, actions: &mut Vec<PlacementAction>) {
+    fn send_orders(&mut self, now: Millis, actions: &mut Vec<PlacementAction>) {
         let bound = self.options.confirm_bound;
-        let Some(term) = self.fence.may_order(now, bound) else {
+        let Some(term) = self.fence.active_term(now, bound) else {
             return;
         };
-        // While a swap is on its way, the record may be about to say something else.
-        if self.pending.is_some() {
+        // A pending swap may be about to change the record that orders are derived from.
+        if self.pending_swap.is_some() {
             return;
         }
         let Some(record) = &self.record else {
@@ -323,15 +337,15 @@
         };
         let orders = due_orders(record, &self.context(now), term);
         for (vm, order) in orders {
-            let is_waiting = self.ordered.get(&vm).is_some_and(|(sent, before)| {
-                *before == order && now.since(*sent) < self.options.order_timeout
+            let is_in_flight = self.last_orders.get(&vm).is_some_and(|(sent_at, last)| {
+                *last == order && now.since(*sent_at) < self.options.order_timeout
             });
-            if is_waiting {
+            if is_in_flight {
                 continue;
             }
-            self.ordered.insert(vm.clone(), (now, order.clone()));
+            self.last_orders.insert(vm.clone(), (now, order.clone()));
             if let Some(view) = self.views.get_mut(&vm) {
-                view.ordered_until = now + self.options.order_timeout;
+                view.order_in_flight_until = now + self.options.order_timeout;
             }
             actions.push(PlacementAction::Order { vm, order });
         }
--- a/crates/placement/src/state/swaps.rs
+++ b/crates/placement/src/state/swaps.rs
@@ -1,4 +1,4 @@
-//! Swaps of the record: what became of one that was sent.
+//! Outcomes of swaps of the record.
 
 use bergamot_types::prelude::*;
 
@@ -7,17 +7,17 @@
 use crate::record::DomainRecord;
 
 impl PlacementState {
-    /// Learns from a later read what became of a swap whose answer was lost.
-    pub(super) fn settle_unknown(
+    /// Settles a swap of unknown outcome by a later read of the record.
+    pub(super) fn settle_unknown_swap(
         &mut self,
         now: Millis,
         record: Option<&DomainRecord>,
         revision: i64,
-        started: Millis,
+        started_at: Millis,
     ) {
         let Some(pending) = self
-            .pending
-            .take_if(|pending| pending.is_unknown && started > pending.sent)
+            .pending_swap
+            .take_if(|pending| pending.is_unknown && started_at > pending.sent_at)
         else {
             return;
         };
@@ -28,59 +28,60 @@
                 self.fabric,
                 pending.record.nonce
             );
-            self.win(now, &pending);
+            self.record_win(now, &pending);
         }
     }
 
+    /// Whether this incarnation of this VM wrote the record's term.
     pub(super) fn holds_record(&self) -> bool {
         self.record.as_ref().is_some_and(|record| {
-            record.coordinator == self.me && record.incarnation == self.incarnation
+            record.coordinator == self.own_entry && record.incarnation == self.incarnation
         })
     }
 
-    pub(super) fn win(&mut self, now: Millis, pending: &PendingSwap) {
+    pub(super) fn record_win(&mut self, now: Millis, pending: &PendingSwap) {
         match pending.is_takeover {
             true => {
-                // Whoever held the term before may still have an order on its way.
-                let had_other = pending.record.term > 1;
-                let quiet = match had_other {
+                // The previous holder of the term may still have an order in flight.
+                let had_previous_holder = pending.record.term > 1;
+                let handover = match had_previous_holder {
                     true => self.options.confirm_bound + self.options.order_timeout,
                     false => Millis::ZERO,
                 };
                 self.fence
-                    .won(pending.record.term, pending.sent, now, quiet);
+                    .record_win(pending.record.term, pending.sent_at, now, handover);
             }
-            false => self.fence.confirm(pending.sent),
+            false => self.fence.confirm(pending.sent_at),
         }
     }
 
-    pub(super) fn take_swap(&mut self, now: Millis, nonce: u64, outcome: &SwapOutcome) {
+    pub(super) fn apply_swap(&mut self, now: Millis, nonce: u64, outcome: &SwapOutcome) {
         let is_pending = |pending: &mut PendingSwap| pending.record.nonce == nonce;
         match outcome {
             SwapOutcome::Won(revision) => {
-                let Some(pending) = self.pending.take_if(is_pending) else {
+                let Some(pending) = self.pending_swap.take_if(is_pending) else {
                     return;
                 };
                 if *revision < self.revision {
                     return;
                 }
-                self.win(now, &pending);
+                self.record_win(now, &pending);
                 self.revision = *revision;
                 self.record = Some(pending.record);
-                self.note_phases(now);
+                self.track_phases(now);
             }
             SwapOutcome::Lost | SwapOutcome::NotSent => {
-                self.pending.take_if(is_pending);
-                self.is_read = *outcome == SwapOutcome::NotSent && self.is_read;
+                self.pending_swap.take_if(is_pending);
+                self.is_record_read = *outcome == SwapOutcome::NotSent && self.is_record_read;
             }
             SwapOutcome::Unknown => {
-                if let Some(pending) = self.pending.as_mut()
+                if let Some(pending) = self.pending_swap.as_mut()
                     && pending.record.nonce == nonce
                 {
                     pending.is_unknown = true;
-                    // The settling read has to begin after the swap was given up.
-                    pending.sent = now;
-                    self.is_read = false;
+                    // The read that settles the outcome must begin after the swap was given up.
+                    pending.sent_at = now;
+                    self.is_record_read = false;
                 }
             }
         }
--- a/crates/placement/src/views.rs
+++ b/crates/placement/src/views.rs
@@ -1,4 +1,4 @@
-//! What a coordinator knows of each VM of its fabric domain.
+//! What a coordinator knows about each VM of its fabric domain.
 
 use std::net::SocketAddr;
 
@@ -10,124 +10,133 @@
 
 /// Whether the platform lists a VM.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum ListedState {
-    /// It stays.
+pub enum ListingState {
+    /// Listed, and not about to be removed.
     Live,
-    /// It will be taken away.
+    /// Listed, but the platform is about to remove the VM.
     Leaving,
-    /// It was listed once and is not any more.
-    Gone,
+    /// No longer listed.
+    Delisted,
 }
 
-/// One engine VM of the fabric domain in the platform's list.
+/// An engine VM of the fabric domain, as the platform lists it.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct VmListing {
     /// The VM.
     pub vm: VmId,
-    /// Whether it is leaving.
+    /// Whether the platform is about to remove the VM.
     pub is_leaving: bool,
-    /// Where its engine listens.
+    /// Address of the VM's engine.
     pub addr: SocketAddr,
-    /// Accelerators in it.
+    /// Number of accelerators of the VM.
     pub accelerators: u32,
 }
 
-/// One VM as its coordinator knows it.
+/// What the coordinator knows about one VM.
 #[derive(Clone, Debug)]
 pub struct VmView {
-    /// What the platform says.
-    pub listed: ListedState,
-    /// Where its engine listens.
+    /// Whether the platform lists the VM.
+    pub listing: ListingState,
+    /// Address of the VM's engine.
     pub addr: SocketAddr,
-    /// Accelerators in it.
+    /// Number of accelerators of the VM.
     pub accelerators: u32,
-    /// Reads of the list in a row that lacked it.
-    pub(crate) missing_looks: u32,
-    /// The last report with the time it was asked for.
-    pub report: Option<(Millis, EngineReport)>,
-    /// Since when it gave no answer; none while it answers.
-    pub silent_since: Option<Millis>,
-    /// Since when it answers without a gap.
-    pub(crate) steady_since: Option<Millis>,
-    /// Whether it was ever silent.
+    /// Number of consecutive reads of the VM list that lacked the VM.
+    pub(crate) missed_reads: u32,
+    /// The last report, with the time when it was asked for.
+    pub last_report: Option<(Millis, EngineReport)>,
+    /// Since when the engine has not answered; none while it answers.
+    pub unresponsive_since: Option<Millis>,
+    /// Since when the engine has answered without a gap.
+    pub(crate) responsive_since: Option<Millis>,
+    /// Whether the engine ever stopped answering.
     pub(crate) has_flapped: bool,
-    /// Until when an order may still be on its way; what was reported before says nothing of it.
-    pub(crate) ordered_until: Millis,
+    /// Until when an order may be in flight. Reports asked for earlier may not show its effect.
+    pub(crate) order_in_flight_until: Millis,
 }
 
 impl VmView {
-    /// A VM that was just listed.
+    /// Creates the view of a VM that has just been listed.
     pub fn new(listing: &VmListing, now: Millis) -> Self {
         Self {
-            listed: ListedState::Live,
+            listing: ListingState::Live,
             addr: listing.addr,
             accelerators: listing.accelerators,
-            missing_looks: 0,
-            report: None,
-            silent_since: Some(now),
-            steady_since: None,
+            missed_reads: 0,
+            last_report: None,
+            unresponsive_since: Some(now),
+            responsive_since: None,
             has_flapped: false,
-            ordered_until: Millis::ZERO,
+            order_in_flight_until: Millis::ZERO,
         }
     }
 
-    /// Notes an answer to a question asked at `asked`.
-    pub fn note_report(&mut self, asked: Millis, report: EngineReport) {
-        let is_older = self.report.as_ref().is_some_and(|(at, _)| *at > asked);
-        if is_older {
+    /// Records the answer to a query that was sent at `asked_at`.
+    pub fn record_report(&mut self, asked_at: Millis, report: EngineReport) {
+        let is_outdated = self
+            .last_report
+            .as_ref()
+            .is_some_and(|(last_asked_at, _)| *last_asked_at > asked_at);
+        if is_outdated {
             return;
         }
-        self.report = Some((asked, report));
-        self.silent_since = None;
-        self.steady_since.get_or_insert(asked);
+        self.last_report = Some((asked_at, report));
+        self.unresponsive_since = None;
+        self.responsive_since.get_or_insert(asked_at);
     }
 
-    /// Notes that a question asked at `asked` found no answer.
-    pub fn note_silence(&mut self, asked: Millis) {
-        if self.silent_since.is_none() {
-            self.silent_since = Some(asked);
+    /// Records that a query sent at `asked_at` was not answered.
+    pub fn record_unanswered(&mut self, asked_at: Millis) {
+        if self.unresponsive_since.is_none() {
+            self.unresponsive_since = Some(asked_at);
             self.has_flapped = true;
         }
-        self.steady_since = None;
+        self.responsive_since = None;
     }
 
-    /// The last report, if it is fresh enough to act on.
+    /// Returns the last report if it is recent enough to rely on.
     pub fn fresh_report(&self, now: Millis, options: &PlacementOptions) -> Option<&EngineReport> {
-        let (at, report) = self.report.as_ref()?;
-        (now.since(*at) <= options.report_max_age).then_some(report)
+        let (asked_at, report) = self.last_report.as_ref()?;
+        (now.since(*asked_at) <= options.report_max_age).then_some(report)
     }
 
-    /// The last report, if it is fresh and was asked for when no order could be on its way.
+    /// Returns the last report if it is recent and was asked for when no order could be in flight.
     pub fn settled_report(
         &self,
         now: Millis,
-        quiet_until: Millis,
+        handover_until: Millis,
         options: &PlacementOptions,
     ) -> Option<&EngineReport> {
-        let (asked, _) = self.report.as_ref()?;
-        let settled_from = self.ordered_until.max(quiet_until);
+        let (asked_at, _) = self.last_report.as_ref()?;
+        let settled_from = self.order_in_flight_until.max(handover_until);
         self.fresh_report(now, options)
-            .filter(|_| *asked >= settled_from)
+            .filter(|_| *asked_at >= settled_from)
     }
 
-    /// Whether it has been silent long enough to count as dead.
+    /// Whether the VM is no longer listed, or has been unresponsive long enough to count as dead.
     pub fn is_dead(&self, now: Millis, options: &PlacementOptions) -> bool {
-        match self.listed {
-            ListedState::Gone => true,
+        match self.listing {
+            ListingState::Delisted => true,
             _ => self
-                .silent_since
+                .unresponsive_since
                 .is_some_and(|since| now.since(since) >= options.unreachable_after),
         }
     }
 
-    /// Whether it may enter a group: listed as staying, seen idle, and not flapping.
-    pub fn is_usable(&self, now: Millis, quiet_until: Millis, options: &PlacementOptions) -> bool {
+    /// Whether the VM may join a group: it is not leaving, its engine reports that it is idle, and
+    /// it does not flap.
+    pub fn is_usable(
+        &self,
+        now: Millis,
+        handover_until: Millis,
+        options: &PlacementOptions,
+    ) -> bool {
         let is_idle = self
-            .settled_report(now, quiet_until, options)
+            .settled_report(now, handover_until, options)
             .is_some_and(|report| report.group.is_none() || is_on(Mutation::FreeUnconfirmedVm));
-        let is_steady = self
-            .steady_since
+        let is_stable = self
+            .responsive_since
             .is_some_and(|since| !self.has_flapped || now.since(since) >= options.flap_hold);
-        self.listed == ListedState::Live && is_idle && is_steady
+        self.listing == ListingState::Live && is_idle && is_stable
     }
 }
