--- a/crates/bundle/src/check.rs
+++ b/crates/bundle/src/check.rs
@@ -1,4 +1,4 @@
-//! What makes a bundle unfit to be signed or adopted.
+//! Validates bundles before they are signed or adopted.
 
 use std::collections::HashSet;
 use std::fmt;
@@ -7,15 +7,15 @@
 
 /// The least urgent priority.
 pub const LOWEST_PRIORITY: u8 = 9;
-/// The largest replica that is accepted.
+/// Maximum number of VMs per replica.
 pub const MAX_VMS_PER_REPLICA: u32 = 64;
 
-/// One thing wrong with a bundle.
+/// A reason why a bundle is invalid.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Problem {
-    /// Where, such as `models[2].replicas`.
+    /// The invalid field, such as `models[2].replicas`.
     pub field: String,
-    /// Why.
+    /// The reason why the field is invalid.
     pub reason: String,
 }
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// Lists everything wrong with `document`; an empty list means that it may be signed.
+/// Returns all problems of `document`. A document without problems may be signed.
 pub fn check(document: &BundleDocument) -> Vec<Problem> {
     let mut problems = Vec::new();
     let mut report = |field: String, reason: &str| {
--- a/crates/bundle/src/document.rs
+++ b/crates/bundle/src/document.rs
@@ -1,22 +1,22 @@
-//! What a bundle says.
+//! The bundle document.
 
 use bergamot_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// The whole document.
+/// The bundle document.
 #[derive(Clone, PartialEq, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BundleDocument {
-    /// A name for people; the digest is what counts.
+    /// Human-readable version. Bundles are identified by their digest, not by this.
     pub version: String,
-    /// Who may call.
+    /// The accounts that may send requests.
     pub accounts: Vec<AccountSpec>,
-    /// What the engines run.
+    /// The models that engines run.
     pub models: Vec<ModelSpec>,
-    /// Plain services that are routed to as well.
+    /// Plain services that requests are routed to.
     #[serde(default)]
     pub services: Vec<ServiceSpec>,
-    /// Hex public keys of operators that are no longer trusted, from this roll on.
+    /// Hex-encoded public keys of operators that are not trusted from this roll on.
     #[serde(default)]
     pub revoked_signers: Vec<String>,
 }
@@ -25,52 +25,52 @@
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AccountSpec {
-    /// The account.
+    /// Name of the account.
     pub name: ClientAccount,
-    /// Hex SHA-256 of its token.
+    /// Hex-encoded SHA-256 digest of the account's token.
     pub token_sha256: String,
-    /// Requests per second over all entry VMs.
+    /// Maximum requests per second across all entry VMs.
     pub requests_per_second: f64,
-    /// Requests at once over all entry VMs.
+    /// Maximum concurrent requests across all entry VMs.
     pub concurrency: u32,
-    /// 0 is the most urgent, 9 the least.
+    /// Priority; 0 is the most urgent, 9 the least.
     #[serde(default = "default_priority")]
     pub priority: u8,
 }
 
-/// One model that some upstreams must run.
+/// A model that some of the upstreams run.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelSpec {
-    /// The name callers ask for.
+    /// The name by which callers request the model.
     pub name: ModelName,
     /// Version of the weights.
     pub version: String,
-    /// Adapter loaded on top, if any.
+    /// Adapter that is loaded on top of the weights.
     #[serde(default)]
     pub adapter: Option<String>,
-    /// VMs in each replica.
+    /// Number of VMs per replica.
     pub vms_per_replica: u32,
-    /// Replicas wanted over the whole fleet.
+    /// Number of replicas in the whole fleet.
     pub replicas: u32,
-    /// 0 is the most urgent, 9 the least; a repair may take VMs from a less urgent model.
+    /// Priority; 0 is the most urgent, 9 the least. A repair may take VMs from a less urgent model.
     #[serde(default = "default_priority")]
     pub priority: u8,
-    /// Accounts that may call it; empty means all.
+    /// Accounts that may request the model. An empty list allows all accounts.
     #[serde(default)]
     pub accounts: Vec<ClientAccount>,
 }
 
-/// One plain service.
+/// A plain service.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSpec {
-    /// The name in the path.
+    /// The service's name in request paths.
     pub name: ServiceName,
-    /// Routes with a special rule; all others are idempotent if their method is.
+    /// Rules for particular calls. Other calls are idempotent if their method is.
     #[serde(default)]
     pub routes: Vec<RouteSpec>,
-    /// Accounts that may call it; empty means all.
+    /// Accounts that may call the service. An empty list allows all accounts.
     #[serde(default)]
     pub accounts: Vec<ClientAccount>,
 }
@@ -79,11 +79,11 @@
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteSpec {
-    /// The method, in capitals.
+    /// HTTP method in upper case.
     pub method: String,
-    /// Calls whose path starts with this.
+    /// Prefix of the paths that the rule applies to.
     pub path_prefix: String,
-    /// Whether a call may run twice.
+    /// Whether running a call twice is harmless.
     pub idempotent: bool,
 }
 
@@ -92,12 +92,12 @@
 }
 
 impl BundleDocument {
-    /// The model of that name.
+    /// Returns the model with this name.
     pub fn model(&self, name: &str) -> Option<&ModelSpec> {
         self.models.iter().find(|model| model.name.as_str() == name)
     }
 
-    /// The service of that name.
+    /// Returns the service with this name.
     pub fn service(&self, name: &str) -> Option<&ServiceSpec> {
         self.services
             .iter()
@@ -106,7 +106,8 @@
 }
 
 impl ServiceSpec {
-    /// Whether a call may be repeated: by the longest matching rule, else by its method.
+    /// Whether a call may be retried. The rule with the longest matching prefix decides, or else
+    /// the method.
     pub fn is_idempotent(&self, method: &str, path: &str) -> bool {
         let rule = self
             .routes
@@ -120,7 +121,7 @@
     }
 }
 
-/// Whether `account` is on the list, an empty list meaning everyone.
+/// Whether `accounts` contains `account`. An empty list allows all accounts.
 pub fn is_allowed(accounts: &[ClientAccount], account: &ClientAccount) -> bool {
     accounts.is_empty() || accounts.contains(account)
 }
--- a/crates/bundle/src/keys.rs
+++ b/crates/bundle/src/keys.rs
@@ -1,4 +1,4 @@
-//! Operators' keys, digests and signatures.
+//! Keys of operators, digests and signatures.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -8,7 +8,7 @@
 use serde_with::{hex::Hex, serde_as};
 use sha2::{Digest, Sha256};
 
-/// Why a document or record is not trusted.
+/// Reasons to reject a document or a record.
 #[derive(Clone, PartialEq, Eq, Debug, thiserror::Error)]
 #[allow(missing_docs)]
 pub enum Error {
@@ -22,14 +22,14 @@
     BadKey,
 }
 
-/// SHA-256 of a bundle's bytes.
+/// SHA-256 digest of a bundle's bytes.
 #[serde_as]
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct BundleDigest(#[serde_as(as = "Hex")] pub [u8; 32]);
 
 impl BundleDigest {
-    /// Hashes a document's bytes.
+    /// Computes the digest of a document's bytes.
     pub fn of(bytes: &[u8]) -> Self {
         Self(Sha256::digest(bytes).into())
     }
@@ -54,29 +54,29 @@
 pub struct SignerPublic(#[serde_as(as = "Hex")] pub [u8; 32]);
 
 impl SignerPublic {
-    /// Reads 64 hex digits.
+    /// Parses a key of 64 hex digits.
     ///
     /// # Errors
-    /// [`Error::BadKey`] for anything else.
+    /// [`Error::BadKey`] if the text is anything else.
     pub fn from_hex(text: &str) -> Result<Self, Error> {
         let bytes = hex::decode(text.trim()).map_err(|_| Error::BadKey)?;
         let bytes = <[u8; 32]>::try_from(bytes).map_err(|_| Error::BadKey)?;
         Ok(Self(bytes))
     }
 
-    /// The key as 64 hex digits.
+    /// Returns the key as 64 hex digits.
     pub fn to_hex(&self) -> String {
         hex::encode(self.0)
     }
 }
 
-/// One signature with the key it is meant to be checked against.
+/// A signature, with the public key that verifies it.
 #[serde_as]
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct Signature {
-    /// Who signed.
+    /// Public key of the signer.
     pub signer: SignerPublic,
-    /// The 64 bytes of the signature.
+    /// The signature, 64 bytes.
     #[serde_as(as = "Hex")]
     pub bytes: Vec<u8>,
 }
@@ -85,30 +85,30 @@
 pub struct SignerKey(SigningKey);
 
 impl SignerKey {
-    /// Makes a key from 32 random bytes.
+    /// Creates a key from 32 random bytes.
     pub fn from_seed(seed: &[u8; 32]) -> Self {
         Self(SigningKey::from_bytes(seed))
     }
 
-    /// Reads the secret from 64 hex digits.
+    /// Parses the secret from 64 hex digits.
     ///
     /// # Errors
-    /// [`Error::BadKey`] for anything else.
+    /// [`Error::BadKey`] if the text is anything else.
     pub fn from_hex(text: &str) -> Result<Self, Error> {
         Ok(Self::from_seed(&SignerPublic::from_hex(text)?.0))
     }
 
-    /// The secret, for handing the key to another owner.
+    /// Returns the secret, for example to transfer the key to another owner.
     pub fn to_seed(&self) -> [u8; 32] {
         self.0.to_bytes()
     }
 
-    /// The public half.
+    /// Returns the public key.
     pub fn public(&self) -> SignerPublic {
         SignerPublic(self.0.verifying_key().to_bytes())
     }
 
-    /// Signs bytes.
+    /// Signs `bytes`.
     pub fn sign(&self, bytes: &[u8]) -> Signature {
         Signature {
             signer: self.public(),
@@ -117,21 +117,23 @@
     }
 }
 
-/// The operators that are trusted, and how many must sign.
+/// The trusted operators, and how many of them must sign.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeyRing {
-    /// Trusted public keys.
+    /// Public keys of trusted operators.
     pub signers: BTreeSet<SignerPublic>,
-    /// Distinct signers needed.
+    /// Number of distinct signers that are required.
     pub threshold: usize,
 }
 
 impl KeyRing {
-    /// Checks that enough distinct trusted operators, none of them revoked, signed `bytes`.
+    /// Verifies that enough distinct operators that are trusted and not revoked signed `bytes`.
+    ///
+    /// Verifies at most one signature per element of `signatures`.
     ///
     /// # Errors
-    /// [`Error::TooFewSignatures`]. Costs one signature check a signature.
+    /// [`Error::TooFewSignatures`] if fewer did.
     pub fn verify(
         &self,
         bytes: &[u8],
--- a/crates/bundle/src/lib.rs
+++ b/crates/bundle/src/lib.rs
@@ -1,7 +1,9 @@
-//! The bundle operators publish, its checks and signatures, and the record that puts one in force.
+//! The configuration bundle that operators publish, its validation and signatures, and the roll
+//! record that activates a bundle.
 //!
-//! A bundle is an immutable JSON document named by the SHA-256 of its bytes. A roll record names
-//! the digest in force and carries a number that only grows. Both are signed with ed25519 keys.
+//! A bundle is an immutable JSON document that is identified by the SHA-256 digest of its bytes.
+//! The roll record contains the digest of the active bundle and a roll number that only increases.
+//! Both are signed with Ed25519 keys.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/bundle/src/roll.rs
+++ b/crates/bundle/src/roll.rs
@@ -1,4 +1,4 @@
-//! Which bundle is in force, and how an entry VM adopts a newer one.
+//! The roll record, and the adoption of newer bundles by an entry VM.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -12,33 +12,33 @@
 use crate::document::BundleDocument;
 use crate::keys::{BundleDigest, Error, KeyRing, Signature, SignerKey, SignerPublic};
 
-/// A bundle's bytes with the signatures over them.
+/// A bundle's bytes, with their signatures.
 #[serde_as]
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct SignedBundle {
-    /// The document, exactly as it was signed.
+    /// The document, byte for byte as it was signed.
     #[serde_as(as = "Base64")]
     pub bytes: Vec<u8>,
-    /// Signatures over `bytes`.
+    /// Signatures of `bytes`.
     pub signatures: Vec<Signature>,
 }
 
 impl SignedBundle {
-    /// Signs a document's bytes with each of `keys`.
+    /// Signs a document with each of `keys`.
     pub fn sign(bytes: Vec<u8>, keys: &[SignerKey]) -> Self {
         let signatures = keys.iter().map(|key| key.sign(&bytes)).collect();
         Self { bytes, signatures }
     }
 
-    /// The digest the document is known by.
+    /// Returns the digest that identifies the document.
     pub fn digest(&self) -> BundleDigest {
         BundleDigest::of(&self.bytes)
     }
 
-    /// Checks signatures and content, and reads the document.
+    /// Parses the document, and verifies its signatures and content.
     ///
     /// # Errors
-    /// When too few trusted operators signed, or the document has problems.
+    /// If too few trusted operators signed, or if the document is invalid.
     pub fn open(
         &self,
         ring: &KeyRing,
@@ -63,23 +63,24 @@
         .filter_map(|key| SignerPublic::from_hex(key).ok())
 }
 
-/// The one record that says what is in force. Changed only by compare-and-swap.
+/// The record that determines the active bundle. There is one; it changes only by compare-and-swap.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct RollRecord {
-    /// Grows by one with each roll.
+    /// Incremented with each roll.
     pub number: u64,
-    /// The bundle in force.
+    /// Digest of the active bundle.
     pub digest: BundleDigest,
-    /// The bundle before it, for operators.
+    /// Digest of the previously active bundle, for operators.
     pub previous: Option<BundleDigest>,
-    /// Names the writer's attempt, so that a lost answer can be settled by reading back.
+    /// Identifies the attempt to write this record. If the reply to a swap is lost, reading the
+    /// nonce back settles the outcome.
     pub nonce: u64,
-    /// Signatures over the fields above.
+    /// Signatures of the fields above.
     pub signatures: Vec<Signature>,
 }
 
 impl RollRecord {
-    /// The record that follows `current`, signed with each of `keys`.
+    /// Creates the record that succeeds `current`, signed with each of `keys`.
     pub fn next(
         current: Option<&Self>,
         digest: BundleDigest,
@@ -98,7 +99,7 @@
         record
     }
 
-    /// The bytes the signatures cover.
+    /// Returns the bytes that the signatures cover.
     pub fn signed_bytes(&self) -> Vec<u8> {
         let previous = self.previous.map_or_else(String::new, |d| d.to_string());
         format!(
@@ -109,18 +110,19 @@
     }
 }
 
-/// What became of an offered roll.
+/// Outcome of [`RollAdopter::adopt`].
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum AdoptOutcome {
-    /// It is in force here now.
+    /// The offered bundle is now active on this VM.
     Adopted,
-    /// One at least as new is in force here.
+    /// A bundle that is at least as new was already active on this VM.
     AlreadyNewer,
-    /// Another record with the same number is in force: only one can have won the swap.
+    /// Another bundle was adopted under the same number. Only one of the two records can have won
+    /// the swap.
     Conflict,
 }
 
-/// Holds the bundle in force on one entry VM. Numbers only grow.
+/// Adopts rolls on one entry VM and holds the active bundle. Its roll number only increases.
 #[derive(Clone, Debug)]
 pub struct RollAdopter {
     ring: KeyRing,
@@ -128,19 +130,19 @@
     current: Option<Arc<ActiveBundle>>,
 }
 
-/// A bundle in force with the record that put it there.
+/// An active bundle, with the record that activated it.
 #[derive(Clone, PartialEq, Debug)]
 pub struct ActiveBundle {
-    /// The record.
+    /// The roll record.
     pub record: RollRecord,
-    /// The bundle as signed, for passing on to peers.
+    /// The signed bundle, for peers that request it.
     pub signed: SignedBundle,
-    /// The bundle as read.
+    /// The parsed bundle.
     pub document: BundleDocument,
 }
 
 impl RollAdopter {
-    /// A keeper that trusts `ring` and has adopted nothing yet.
+    /// Creates an adopter without an active bundle. Bundles must be signed by operators in `ring`.
     pub fn new(ring: KeyRing) -> Self {
         Self {
             ring,
@@ -149,33 +151,36 @@
         }
     }
 
-    /// What is in force here.
+    /// Returns the active bundle.
     pub fn current(&self) -> Option<&Arc<ActiveBundle>> {
         self.current.as_ref()
     }
 
-    /// The number in force here, zero before the first.
+    /// Returns the number of the active roll; zero if there is none.
     pub fn number(&self) -> u64 {
-        self.current.as_ref().map_or(0, |force| force.record.number)
+        self.current
+            .as_ref()
+            .map_or(0, |active| active.record.number)
     }
 
-    /// Takes an offered roll, from the key-value service or a peer, if it is newer and signed.
+    /// Adopts a roll from the key-value store or a peer if it is newer than the active one and
+    /// signed by enough trusted operators.
     ///
     /// # Errors
-    /// When signatures, digest or document do not hold; nothing changes then.
+    /// If the signatures, the digest or the document are invalid. The active bundle stays active.
     pub fn adopt(
         &mut self,
         record: &RollRecord,
         signed: &SignedBundle,
     ) -> Result<AdoptOutcome, Error> {
-        let is_any_taken = is_on(Mutation::AdoptAnyRoll);
-        if record.number < self.number() && !is_any_taken {
+        let accepts_any_roll = is_on(Mutation::AdoptAnyRoll);
+        if record.number < self.number() && !accepts_any_roll {
             return Ok(AdoptOutcome::AlreadyNewer);
         }
-        if let Some(force) = self.current.as_ref()
-            && force.record.number == record.number
+        if let Some(active) = self.current.as_ref()
+            && active.record.number == record.number
         {
-            return Ok(match force.record.digest == record.digest {
+            return Ok(match active.record.digest == record.digest {
                 true => AdoptOutcome::AlreadyNewer,
                 false => AdoptOutcome::Conflict,
             });
@@ -189,7 +194,11 @@
         self.ring
             .verify(&record.signed_bytes(), &record.signatures, &revoked)?;
         Invariant::BundleNeverReverts.check(record.number > self.number(), || {
-            format!("{} after {}", record.number, self.number())
+            format!(
+                "adopted roll {} after roll {}",
+                record.number,
+                self.number()
+            )
         });
         self.revoked = revoked;
         self.current = Some(Arc::new(ActiveBundle {
--- a/crates/bundle/src/stage.rs
+++ b/crates/bundle/src/stage.rs
@@ -1,43 +1,45 @@
-//! The gate between the failure domains of a staged roll.
+//! Stages a roll by failure domain.
 //!
-//! The record is in force everywhere at once; what is staged is the replacement of groups. The
-//! gate opens failure domains one after another, each when the ones before it are healthy.
+//! The roll record takes effect everywhere at once; only the replacement of groups is staged. The
+//! gate opens one failure domain after another, each once the earlier ones are healthy.
 
 use bergamot_types::prelude::*;
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-/// How far the replacement of groups has come in one failure domain.
+/// Progress of the replacement of groups in one failure domain.
 #[derive(Clone, Copy, PartialEq, Eq, Default, Debug, Serialize, Deserialize)]
 pub struct StageHealth {
-    /// Groups wanted there.
+    /// Number of groups wanted in the failure domain.
     pub wanted: u32,
-    /// Groups that serve the new roll.
+    /// Number of groups of the new roll that serve.
     pub serving_new: u32,
-    /// Groups of the new roll that failed to come up.
+    /// Number of groups of the new roll that failed to form.
     pub failed_new: u32,
 }
 
-/// What the gate says about one failure domain.
+/// Whether groups of one failure domain may be replaced.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum GateOutcome {
-    /// Groups may be replaced there.
+    /// Groups may be replaced.
     Open,
-    /// An earlier failure domain is not done yet.
+    /// This earlier failure domain has not completed its replacements.
     Waiting(FailureDomain),
-    /// An earlier failure domain failed; the roll stops until the next one.
+    /// Too many groups failed in this earlier failure domain. The roll stops; only a later roll
+    /// resumes replacements.
     Stopped(FailureDomain),
 }
 
-/// Decides for one roll in which failure domains groups may be replaced.
+/// Decides in which failure domains a roll may replace groups.
 #[derive(Clone, Debug, Default)]
 pub struct StageGate {
-    /// Failed groups that are tolerated in each failure domain.
+    /// Number of failed groups that are tolerated in each failure domain.
     pub tolerated_failures: u32,
 }
 
 impl StageGate {
-    /// The gate's word on `domain`, given the health of all, in rollout order.
+    /// Returns whether groups of `domain` may be replaced. `health` lists the failure domains in
+    /// rollout order.
     pub fn outcome(
         &self,
         domain: &FailureDomain,
--- a/crates/bundle/tests/roll.rs
+++ b/crates/bundle/tests/roll.rs
@@ -1,4 +1,4 @@
-//! Which rolls are adopted: newer ones that enough trusted operators signed, and no others.
+//! Only newer rolls that enough trusted operators signed are adopted.
 
 use std::collections::BTreeSet;
 
@@ -56,38 +56,38 @@
 }
 
 #[test]
-fn enough_trusted_signatures_are_needed() {
+fn rolls_without_enough_trusted_signatures_are_rejected() {
     let cases = [
         AdoptCase {
-            name: "one of one",
+            name: "one signer, threshold 1",
             threshold: 1,
             bundle_keys: vec![key(1)],
             roll_keys: vec![key(2)],
             is_adopted: true,
         },
         AdoptCase {
-            name: "the same signer twice is one",
+            name: "same signer twice, threshold 2",
             threshold: 2,
             bundle_keys: vec![key(1), key(1)],
             roll_keys: vec![key(1), key(2)],
             is_adopted: false,
         },
         AdoptCase {
-            name: "a roll by a stranger",
+            name: "roll record signed by an untrusted key",
             threshold: 1,
             bundle_keys: vec![key(1)],
             roll_keys: vec![key(9)],
             is_adopted: false,
         },
         AdoptCase {
-            name: "no signature",
+            name: "bundle without signatures",
             threshold: 1,
             bundle_keys: vec![],
             roll_keys: vec![key(1)],
             is_adopted: false,
         },
         AdoptCase {
-            name: "two of two",
+            name: "two signers, threshold 2",
             threshold: 2,
             bundle_keys: vec![key(1), key(3)],
             roll_keys: vec![key(2), key(3)],
@@ -95,51 +95,71 @@
         },
     ];
     for case in cases {
-        let mut keeper = RollAdopter::new(ring(case.threshold));
+        let mut adopter = RollAdopter::new(ring(case.threshold));
         let bundle = signed(&document("1"), &case.bundle_keys);
         let record = RollRecord::next(None, bundle.digest(), 1, &case.roll_keys);
-        let outcome = keeper.adopt(&record, &bundle);
+        let outcome = adopter.adopt(&record, &bundle);
         assert_eq!(outcome.is_ok(), case.is_adopted, "{}", case.name);
-        assert_eq!(keeper.number(), u64::from(case.is_adopted), "{}", case.name);
+        assert_eq!(
+            adopter.number(),
+            u64::from(case.is_adopted),
+            "{}",
+            case.name
+        );
     }
 }
 
 #[test]
-fn numbers_only_grow() {
-    let mut keeper = RollAdopter::new(ring(1));
+fn older_and_conflicting_rolls_are_not_adopted() {
+    let mut adopter = RollAdopter::new(ring(1));
     let keys = [key(1)];
-    let first = signed(&document("1"), &keys);
-    let second = signed(&document("2"), &keys);
-    let one = RollRecord::next(None, first.digest(), 1, &keys);
-    let two = RollRecord::next(Some(&one), second.digest(), 2, &keys);
-    let rival = RollRecord::next(Some(&one), first.digest(), 3, &keys);
-    assert_eq!(keeper.adopt(&two, &second), Ok(AdoptOutcome::Adopted));
-    assert_eq!(keeper.adopt(&one, &first), Ok(AdoptOutcome::AlreadyNewer));
-    assert_eq!(keeper.adopt(&rival, &first), Ok(AdoptOutcome::Conflict));
-    assert_eq!(keeper.number(), 2);
-    // The record of one bundle does not put another in force.
-    let mut fresh = RollAdopter::new(ring(1));
-    assert!(fresh.adopt(&two, &first).is_err());
+    let first_bundle = signed(&document("1"), &keys);
+    let second_bundle = signed(&document("2"), &keys);
+    let first_roll = RollRecord::next(None, first_bundle.digest(), 1, &keys);
+    let second_roll = RollRecord::next(Some(&first_roll), second_bundle.digest(), 2, &keys);
+    let conflicting_roll = RollRecord::next(Some(&first_roll), first_bundle.digest(), 3, &keys);
+    assert_eq!(
+        adopter.adopt(&second_roll, &second_bundle),
+        Ok(AdoptOutcome::Adopted)
+    );
+    assert_eq!(
+        adopter.adopt(&first_roll, &first_bundle),
+        Ok(AdoptOutcome::AlreadyNewer)
+    );
+    assert_eq!(
+        adopter.adopt(&conflicting_roll, &first_bundle),
+        Ok(AdoptOutcome::Conflict)
+    );
+    assert_eq!(adopter.number(), 2);
+    // A roll record must not activate a bundle with another digest.
+    let mut fresh_adopter = RollAdopter::new(ring(1));
+    assert!(fresh_adopter.adopt(&second_roll, &first_bundle).is_err());
 }
 
 #[test]
-fn a_revoked_operator_signs_nothing_any_more() {
-    let mut keeper = RollAdopter::new(ring(1));
+fn signatures_of_revoked_operators_do_not_count() {
+    let mut adopter = RollAdopter::new(ring(1));
     let mut revoking = document("1");
     revoking.revoked_signers = vec![key(1).public().to_hex()];
     let bundle = signed(&revoking, &[key(2)]);
-    let one = RollRecord::next(None, bundle.digest(), 1, &[key(2)]);
-    assert_eq!(keeper.adopt(&one, &bundle), Ok(AdoptOutcome::Adopted));
-    let next = signed(&document("2"), &[key(1)]);
-    let two = RollRecord::next(Some(&one), next.digest(), 2, &[key(1)]);
-    assert!(keeper.adopt(&two, &next).is_err());
-    let next = signed(&document("2"), &[key(3)]);
-    let two = RollRecord::next(Some(&one), next.digest(), 2, &[key(3)]);
-    assert_eq!(keeper.adopt(&two, &next), Ok(AdoptOutcome::Adopted));
+    let first_roll = RollRecord::next(None, bundle.digest(), 1, &[key(2)]);
+    assert_eq!(
+        adopter.adopt(&first_roll, &bundle),
+        Ok(AdoptOutcome::Adopted)
+    );
+    let next_bundle = signed(&document("2"), &[key(1)]);
+    let second_roll = RollRecord::next(Some(&first_roll), next_bundle.digest(), 2, &[key(1)]);
+    assert!(adopter.adopt(&second_roll, &next_bundle).is_err());
+    let next_bundle = signed(&document("2"), &[key(3)]);
+    let second_roll = RollRecord::next(Some(&first_roll), next_bundle.digest(), 2, &[key(3)]);
+    assert_eq!(
+        adopter.adopt(&second_roll, &next_bundle),
+        Ok(AdoptOutcome::Adopted)
+    );
 }
 
 #[test]
-fn any_bytes_are_no_bundle() {
+fn opening_arbitrary_bytes_does_not_panic() {
     bolero::check!()
         .with_iterations(10_000)
         .with_type::<Vec<u8>>()
@@ -151,51 +171,53 @@
 
 struct CheckCase {
     name: &'static str,
-    change: fn(&mut BundleDocument),
-    field: &'static str,
+    modify: fn(&mut BundleDocument),
+    expected_field: &'static str,
 }
 
 #[test]
-fn unfit_bundles_are_named_by_field() {
+fn invalid_bundles_are_reported_by_field() {
     let cases = [
         CheckCase {
-            name: "no version",
-            change: |document| document.version.clear(),
-            field: "version",
+            name: "empty version",
+            modify: |document| document.version.clear(),
+            expected_field: "version",
         },
         CheckCase {
-            name: "an account twice",
-            change: |document| document.accounts.push(document.accounts[0].clone()),
-            field: "accounts[1].name",
+            name: "duplicate account",
+            modify: |document| document.accounts.push(document.accounts[0].clone()),
+            expected_field: "accounts[1].name",
         },
         CheckCase {
-            name: "no rate",
-            change: |document| document.accounts[0].requests_per_second = f64::NAN,
-            field: "accounts[0].requests_per_second",
+            name: "request rate is not a number",
+            modify: |document| document.accounts[0].requests_per_second = f64::NAN,
+            expected_field: "accounts[0].requests_per_second",
         },
         CheckCase {
-            name: "no VMs",
-            change: |document| document.models[0].vms_per_replica = 0,
-            field: "models[0].vms_per_replica",
+            name: "replica without VMs",
+            modify: |document| document.models[0].vms_per_replica = 0,
+            expected_field: "models[0].vms_per_replica",
         },
         CheckCase {
-            name: "an unknown account",
-            change: |document| document.models[0].accounts = vec![ClientAccount::new("b")],
-            field: "models[0].accounts",
+            name: "unknown account",
+            modify: |document| document.models[0].accounts = vec![ClientAccount::new("b")],
+            expected_field: "models[0].accounts",
         },
         CheckCase {
-            name: "a revoked key that is none",
-            change: |document| document.revoked_signers = vec!["x".to_owned()],
-            field: "revoked_signers[0]",
+            name: "malformed revoked key",
+            modify: |document| document.revoked_signers = vec!["x".to_owned()],
+            expected_field: "revoked_signers[0]",
         },
     ];
     for case in cases {
         let mut document = document("1");
         assert!(check(&document).is_empty());
-        (case.change)(&mut document);
+        (case.modify)(&mut document);
         let problems = check(&document);
         assert!(
-            problems.iter().any(|problem| problem.field == case.field),
+            problems
+                .iter()
+                .any(|problem| problem.field == case.expected_field),
             "{}: {problems:?}",
             case.name
         );
