--- a/crates/entry/src/control/evidence.rs
+++ b/crates/entry/src/control/evidence.rs
@@ -82,7 +82,7 @@
         if has_unknown && self.may_ask(now, "groups") {
             actions.push(ControlAction::AskGroups(from));
         }
-        self.roster_event(now, RosterEvent::Beat(beat.clone()), actions);
+        self.roster_event(now, RosterEvent::Heartbeat(beat.clone()), actions);
     }
 
     /// Notes what a peer saw; true if it saw a group that the records here do not have.
@@ -168,7 +168,7 @@
             self.reports.swap_remove(&vm);
             self.drop_news_of(&vm);
             if let Some(placement) = self.placement_of(&vm) {
-                placement.handle(now, PlacementEvent::Silent { vm, asked });
+                placement.handle(now, PlacementEvent::Unanswered { vm, asked });
             }
             return;
         };
@@ -221,7 +221,7 @@
         };
         let news = GroupNews {
             epoch,
-            oldest: evidence.oldest,
+            oldest: evidence.oldest_at,
             load: (evidence.running + evidence.queued).min(u32::from(u16::MAX)) as u16,
             is_own: true,
         };
@@ -278,7 +278,7 @@
         let me = self.me().entry.clone();
         let near: Vec<EntryId> = self
             .roster
-            .trusted_near()
+            .trusted_in_domain()
             .map(|member| member.entry.clone())
             .collect();
         let domain = &self.me().failure_domain;
