--- a/crates/ctl/src/quarantine.rs
+++ b/crates/ctl/src/quarantine.rs
@@ -48,8 +48,8 @@
             since,
             upstreams: incarnations,
         }),
-        QuarantineRecord::End { .. }
-        | QuarantineRecord::Ended { .. }
+        QuarantineRecord::CrashWithoutProgress { .. }
+        | QuarantineRecord::Crash { .. }
         | QuarantineRecord::Cleared { .. } => None,
     });
     Ok(held.collect())
--- a/crates/ctl/tests/quarantine.rs
+++ b/crates/ctl/tests/quarantine.rs
@@ -47,7 +47,7 @@
     let mut vm = QuarantineState::default();
     for item in range.expect("the store answers").items {
         let record = QuarantineRecord::from_bytes(&item.value).expect("it is ours");
-        let event = QuarantineEvent::Told {
+        let event = QuarantineEvent::Stored {
             key: &item.key,
             record: &record,
         };
@@ -65,7 +65,7 @@
         store.put(key, &record.to_bytes().expect("it can be written"));
     };
     for number in 1..=3 {
-        let end = QuarantineRecord::End {
+        let end = QuarantineRecord::CrashWithoutProgress {
             incarnation: incarnation(number),
             prints: vec![print()],
         };
@@ -89,7 +89,7 @@
     assert_eq!(again.code, EXIT_REFUSED, "{}", again.text);
     // It ends three more.
     for number in 4..=6 {
-        let end = QuarantineRecord::End {
+        let end = QuarantineRecord::CrashWithoutProgress {
             incarnation: incarnation(number),
             prints: vec![print()],
         };
--- a/crates/entry/src/duty/peer.rs
+++ b/crates/entry/src/duty/peer.rs
@@ -231,7 +231,7 @@
         }
         Question::Crash(record) => {
             let now = shared.clock.now();
-            let event = QuarantineEvent::Heard(&record);
+            let event = QuarantineEvent::Reported(&record);
             shared.quarantine.lock().handle(now, event);
             Answer::Noted
         }
--- a/crates/entry/src/front/breaks.rs
+++ b/crates/entry/src/front/breaks.rs
@@ -9,7 +9,7 @@
 
 use bergamot_peer::Question;
 use bergamot_quarantine::{
-    BreakCause, BrokenRun, EndEvidence, QuarantineAction, QuarantineEvent, QuarantineRecord,
+    BreakCause, BrokenRun, CrashEvidence, QuarantineAction, QuarantineEvent, QuarantineRecord,
     RequestStanding,
 };
 use bergamot_routing::RunnerFact;
@@ -31,7 +31,7 @@
             return Ok(());
         }
         let event = QuarantineEvent::Housekeeping {
-            coordinates_at: None,
+            coordinator_clock: None,
         };
         quarantine.handle(self.now(), event);
         let standing = quarantine.standing(print);
@@ -41,7 +41,7 @@
             RequestStanding::Suspected(_) => ErrorKind::UpstreamRefused,
             RequestStanding::Quarantined => ErrorKind::Quarantined,
         };
-        quarantine.note_refused(self.now(), print);
+        quarantine.record_rejection(self.now(), print);
         drop(quarantine);
         log::info!(
             "event=request_held_back request={} print={print} standing={standing:?}",
@@ -66,8 +66,8 @@
         if !is_refused(fact.addr).await {
             return;
         }
-        let evidence = EndEvidence::NoListener;
-        let ended = QuarantineEvent::Ended {
+        let evidence = CrashEvidence::NoListener;
+        let ended = QuarantineEvent::Crashed {
             incarnation: &incarnation,
             evidence,
         };
@@ -99,20 +99,20 @@
     let actions = shared.quarantine.lock().handle(now, event);
     for action in actions {
         match action {
-            QuarantineAction::Keep(record) => tell_members(shared, &record),
-            QuarantineAction::NoteEnd {
+            QuarantineAction::Share(record) => tell_members(shared, &record),
+            QuarantineAction::LogCrash {
                 incarnation,
                 evidence,
             } => {
                 log::info!("event=upstream_ended upstream={incarnation} evidence={evidence}");
             }
-            QuarantineAction::NoteStrike {
+            QuarantineAction::LogStrike {
                 run,
                 incarnation,
-                ends,
+                crash_count,
             } => {
                 log::info!(
-                    "event=request_struck print={} upstream={incarnation} events={} ends={ends}",
+                    "event=request_struck print={} upstream={incarnation} events={} ends={crash_count}",
                     run.print,
                     run.events
                 );
--- a/crates/gateway/src/front/breaks.rs
+++ b/crates/gateway/src/front/breaks.rs
@@ -5,7 +5,7 @@
 
 use bergamot_ports::UpstreamState;
 use bergamot_quarantine::{
-    BreakCause, BrokenRun, EndEvidence, QuarantineAction, QuarantineEvent, RequestStanding,
+    BreakCause, BrokenRun, CrashEvidence, QuarantineAction, QuarantineEvent, RequestStanding,
 };
 use bergamot_routing::RouteUpstream;
 use bergamot_types::prelude::*;
@@ -42,7 +42,7 @@
         return;
     }
     let print = request.print();
-    let is_on_edge = front.shared.quarantine.lock().is_on_edge(print);
+    let has_open_crash = front.shared.quarantine.lock().has_open_crash(print);
     let run = BrokenRun { print, events };
     let must_probe = handle(
         front,
@@ -52,7 +52,7 @@
             cause,
         },
     );
-    if is_on_edge {
+    if has_open_crash {
         let (front_of_probe, upstream) = (Rc::clone(front), upstream.clone());
         // On a task of its own, as it is to be found out also where the caller leaves meanwhile.
         let probing =
@@ -78,7 +78,7 @@
 ) {
     if is_staying(front, incarnation) {
         let print = request.print();
-        let (run, cause) = (BrokenRun { print, events }, BreakCause::Left);
+        let (run, cause) = (BrokenRun { print, events }, BreakCause::CallerLeft);
         handle(
             front,
             QuarantineEvent::Broken {
@@ -173,7 +173,7 @@
     front: &FrontContext<Dialect>,
     incarnation: &UpstreamIncarnation,
 ) {
-    if !front.shared.quarantine.lock().is_awaited(incarnation) {
+    if !front.shared.quarantine.lock().may_have_crashed(incarnation) {
         return;
     }
     if !is_domain_reached(front, incarnation).await {
@@ -182,10 +182,10 @@
         );
         return;
     }
-    let evidence = EndEvidence::NoListener;
+    let evidence = CrashEvidence::NoListener;
     handle(
         front,
-        QuarantineEvent::Ended {
+        QuarantineEvent::Crashed {
             incarnation,
             evidence,
         },
@@ -226,7 +226,7 @@
     for action in actions {
         match action {
             QuarantineAction::Probe(_) => must_probe = true,
-            QuarantineAction::NoteEnd {
+            QuarantineAction::LogCrash {
                 incarnation,
                 evidence,
             } => {
@@ -234,18 +234,18 @@
                 ends.with_label_values(&[evidence.as_str()]).inc();
                 log::info!("event=upstream_ended upstream={incarnation} evidence={evidence}");
             }
-            QuarantineAction::NoteStrike {
+            QuarantineAction::LogStrike {
                 run,
                 incarnation,
-                ends,
+                crash_count,
             } => {
                 log::info!(
-                    "event=request_struck print={} upstream={incarnation} events={} ends={ends}",
+                    "event=request_struck print={} upstream={incarnation} events={} ends={crash_count}",
                     run.print,
                     run.events
                 );
             }
-            QuarantineAction::Keep(record) => {
+            QuarantineAction::Share(record) => {
                 if let Err(error) = front.crash_news.try_send(record.clone()) {
                     log::info!("event=notice_not_sent reason=\"{error}\"");
                 }
--- a/crates/gateway/src/front/ends.rs
+++ b/crates/gateway/src/front/ends.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bergamot_ports::UpstreamState;
-use bergamot_quarantine::{EndEvidence, QuarantineEvent};
+use bergamot_quarantine::{CrashEvidence, QuarantineEvent};
 use bergamot_types::prelude::*;
 
 use super::FrontContext;
@@ -21,12 +21,12 @@
     let mut changes = front.shared.view_changed.subscribe();
     while changes.changed().await.is_ok() {
         let view = front.shared.view.load_full();
-        let awaited = front.shared.quarantine.lock().awaited();
+        let awaited = front.shared.quarantine.lock().pending_upstreams();
         for incarnation in &awaited {
             let evidence = match view.upstreams.get(&incarnation.id) {
-                None => EndEvidence::Unlisted,
+                None => CrashEvidence::Unlisted,
                 Some(entry) if entry.incarnation.is_newer_than(incarnation) => {
-                    EndEvidence::Restarted
+                    CrashEvidence::Restarted
                 }
                 Some(entry) if entry.state == UpstreamState::Draining => {
                     handle(&front, QuarantineEvent::Leaving(incarnation));
@@ -36,7 +36,7 @@
             };
             handle(
                 &front,
-                QuarantineEvent::Ended {
+                QuarantineEvent::Crashed {
                     incarnation,
                     evidence,
                 },
@@ -55,17 +55,21 @@
         if front.shared.is_store_away() || front.shared.config_age(now) > MAX_VIEW_AGE {
             fresh_since = now;
         }
-        let due = front.shared.quarantine.lock().to_review(now, fresh_since);
+        let due = front
+            .shared
+            .quarantine
+            .lock()
+            .due_for_review(now, fresh_since);
         for incarnation in &due {
-            let is_named = is_staying(&front, incarnation);
-            if is_named {
+            let is_listed = is_staying(&front, incarnation);
+            if is_listed {
                 log::info!("event=upstream_not_ended upstream={incarnation}");
             }
             handle(
                 &front,
                 QuarantineEvent::Reviewed {
                     incarnation,
-                    is_named,
+                    is_listed,
                 },
             );
         }
--- a/crates/gateway/src/front/exchange.rs
+++ b/crates/gateway/src/front/exchange.rs
@@ -167,7 +167,7 @@
 ) -> Vec<AddressedNotice> {
     let now = front.now();
     let mut quarantine = front.shared.quarantine.lock();
-    quarantine.handle(now, QuarantineEvent::Heard(&notice.record));
+    quarantine.handle(now, QuarantineEvent::Reported(&notice.record));
     drop(quarantine);
     let book = front.book.borrow();
     let hops = book.occupancy.forward_hops(&notice.vm, notice.scope);
--- a/crates/gateway/src/front/open.rs
+++ b/crates/gateway/src/front/open.rs
@@ -39,7 +39,7 @@
     let guard = LeftGuard::new(front, request, &upstream.incarnation);
     let (outcome, cause) = match await_head(front, request, state, run, upstream, sent).await {
         Ok(outcome) => (outcome, BreakCause::Closed),
-        Err(reason) => (Err(AttemptError::Broken(reason)), BreakCause::Silent),
+        Err(reason) => (Err(AttemptError::Broken(reason)), BreakCause::Stalled),
     };
     // Past the deadline nobody waits for it, as if its caller had left.
     match &outcome {
--- a/crates/gateway/src/front/plan.rs
+++ b/crates/gateway/src/front/plan.rs
@@ -212,7 +212,7 @@
     };
     let runs = state.run_at.iter();
     let counted =
-        runs.filter(|incarnation| !quarantine.has_ended(incarnation) && !is_gone(incarnation));
+        runs.filter(|incarnation| !quarantine.has_crashed(incarnation) && !is_gone(incarnation));
     counted.count()
 }
 
--- a/crates/gateway/src/front/relay.rs
+++ b/crates/gateway/src/front/relay.rs
@@ -209,7 +209,7 @@
             match frame {
                 Err(_) if self.is_still(reply) => {
                     let reason = "nothing comes from it".to_owned();
-                    return NextEvent::Broken(BreakCause::Silent, reason);
+                    return NextEvent::Broken(BreakCause::Stalled, reason);
                 }
                 Err(_) => {}
                 Ok(None) if splitter.has_partial() => {
--- a/crates/gateway/src/front/standing.rs
+++ b/crates/gateway/src/front/standing.rs
@@ -29,7 +29,7 @@
         }
         RequestStanding::Suspected(_) | RequestStanding::Quarantined => {}
     }
-    quarantine.note_refused(front.now(), print);
+    quarantine.record_rejection(front.now(), print);
     drop(quarantine);
     log::info!(
         "event=request_held_back request={} print={print} standing={standing:?} sends={}",
--- a/crates/gateway/src/sync/quarantine.rs
+++ b/crates/gateway/src/sync/quarantine.rs
@@ -34,12 +34,12 @@
     let mut quarantine = shared.quarantine.lock();
     for change in news {
         let event = match change {
-            CrashNews::Written(key, record) => QuarantineEvent::Told { key, record },
+            CrashNews::Written(key, record) => QuarantineEvent::Stored { key, record },
             CrashNews::Removed(key) => QuarantineEvent::Removed(key),
         };
         quarantine.handle(now, event);
     }
-    let known = quarantine.known();
+    let known = quarantine.request_count();
     let held = quarantine.quarantined().len();
     drop(quarantine);
     shared.metrics.set_state("suspected_requests", known as i64);
@@ -127,8 +127,8 @@
     fn write(&mut self, record: &QuarantineRecord) -> Option<KeyWrite> {
         let key = match record {
             QuarantineRecord::Quarantined { print, .. } => quarantine_key(*print),
-            QuarantineRecord::End { .. }
-            | QuarantineRecord::Ended { .. }
+            QuarantineRecord::CrashWithoutProgress { .. }
+            | QuarantineRecord::Crash { .. }
             | QuarantineRecord::Cleared { .. } => {
                 self.count += 1;
                 crash_key(&self.shared.site.vm, self.start, self.count)
@@ -160,20 +160,20 @@
     /// does it for all.
     async fn keep_house(&mut self) {
         let now = self.shared.clock.now();
-        let coordinates_at = self.shared.is_coordinator().then(time_of_day);
-        let event = QuarantineEvent::Housekeeping { coordinates_at };
+        let coordinator_clock = self.shared.is_coordinator().then(time_of_day);
+        let event = QuarantineEvent::Housekeeping { coordinator_clock };
         let actions = self.shared.quarantine.lock().handle(now, event);
         let mut txn = StoreTxn::default();
         for action in actions {
             match action {
-                QuarantineAction::Keep(record) => {
+                QuarantineAction::Share(record) => {
                     // Other VMs only write such a record once more.
                     if let QuarantineRecord::Quarantined {
                         print,
                         incarnations,
                         ..
                     } = &record
-                        && coordinates_at.is_some()
+                        && coordinator_clock.is_some()
                     {
                         log::warn!(
                             "event=request_quarantined print={print} upstreams={incarnations:?}"
@@ -183,8 +183,8 @@
                 }
                 QuarantineAction::Remove(keys) => txn.removes.extend(keys),
                 QuarantineAction::Probe(_)
-                | QuarantineAction::NoteEnd { .. }
-                | QuarantineAction::NoteStrike { .. } => {}
+                | QuarantineAction::LogCrash { .. }
+                | QuarantineAction::LogStrike { .. } => {}
             }
         }
         txn.removes
--- a/crates/quarantine/src/ends.rs
+++ b/crates/quarantine/src/ends.rs
@@ -35,14 +35,14 @@
     /// The connection ended. So it does when a process ends, and also by a reset on the way.
     Closed,
     /// Nothing came for too long, and it was given up here.
-    Silent,
+    Stalled,
     /// Its caller left, or its time was up. The upstream may have begun it all the same, and end a moment later.
-    Left,
+    CallerLeft,
 }
 
 /// What shows that an upstream has ended.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum EndEvidence {
+pub enum CrashEvidence {
     /// A new connection was refused: nothing listens there. Partitions may refuse connections too, so this is looked at
     /// again.
     NoListener,
@@ -52,7 +52,7 @@
     Unlisted,
 }
 
-impl EndEvidence {
+impl CrashEvidence {
     /// Its name in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -67,13 +67,13 @@
     /// silent.
     const fn counts_for(self, cause: BreakCause) -> bool {
         match (self, cause) {
-            (Self::Unlisted, BreakCause::Silent | BreakCause::Left) => false,
+            (Self::Unlisted, BreakCause::Stalled | BreakCause::CallerLeft) => false,
             (Self::NoListener | Self::Restarted | Self::Unlisted, _) => true,
         }
     }
 }
 
-impl fmt::Display for EndEvidence {
+impl fmt::Display for CrashEvidence {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.as_str())
     }
@@ -152,7 +152,7 @@
         let broken = PrintBreak { cause, at, events };
         breaks.prints.insert(print, broken);
         // Callers leave all the time, and each probe is a connection.
-        if breaks.is_probed || cause == BreakCause::Left {
+        if breaks.is_probed || cause == BreakCause::CallerLeft {
             return BreakOutcome::Awaited;
         }
         breaks.is_probed = true;
@@ -170,7 +170,7 @@
         &mut self,
         now: Millis,
         incarnation: &UpstreamIncarnation,
-        evidence: EndEvidence,
+        evidence: CrashEvidence,
     ) -> Option<Vec<BrokenRun>> {
         self.expire(now);
         let breaks = self.awaited.shift_remove(incarnation)?;
--- a/crates/quarantine/src/kept.rs
+++ b/crates/quarantine/src/kept.rs
@@ -55,8 +55,8 @@
                 };
                 self.quarantines.insert(*print, kept);
             }
-            QuarantineRecord::End { .. }
-            | QuarantineRecord::Ended { .. }
+            QuarantineRecord::CrashWithoutProgress { .. }
+            | QuarantineRecord::Crash { .. }
             | QuarantineRecord::Cleared { .. } => {
                 self.records.entry(key).or_insert(now);
             }
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -27,7 +27,7 @@
 pub mod state;
 
 pub use blame::SuspectPlace;
-pub use ends::{BreakCause, BreakOutcome, BrokenRun, EndEvidence, EndWatch};
+pub use ends::{BreakCause, BreakOutcome, BrokenRun, CrashEvidence, EndWatch};
 pub use fingerprint::RequestPrint;
 pub use kept::KeptRecords;
 pub use ledger::{CrashLedger, RequestStanding};
--- a/crates/quarantine/src/record.rs
+++ b/crates/quarantine/src/record.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum QuarantineRecord {
     /// An upstream ended under these requests. Not written any more: it does not say how far their runs had come.
-    End {
+    CrashWithoutProgress {
         /// The upstream.
         incarnation: UpstreamIncarnation,
         /// What one VM had in flight there.
@@ -35,7 +35,7 @@
         since: UnixMillis,
     },
     /// An upstream ended under these runs of requests.
-    Ended {
+    Crash {
         /// The upstream.
         incarnation: UpstreamIncarnation,
         /// What one VM had in flight there.
--- a/crates/quarantine/src/state.rs
+++ b/crates/quarantine/src/state.rs
@@ -3,7 +3,7 @@
 use bergamot_types::prelude::*;
 use indexmap::IndexSet;
 
-use crate::ends::{BreakCause, BreakOutcome, BrokenRun, EndEvidence, EndWatch};
+use crate::ends::{BreakCause, BreakOutcome, BrokenRun, CrashEvidence, EndWatch};
 use crate::fingerprint::RequestPrint;
 use crate::kept::KeptRecords;
 use crate::ledger::{CrashLedger, QuarantinedRequest, RequestStanding};
@@ -30,37 +30,37 @@
     /// An upstream says that it leaves.
     Leaving(&'a UpstreamIncarnation),
     /// Something shows that an upstream has ended.
-    Ended {
+    Crashed {
         /// The upstream.
         incarnation: &'a UpstreamIncarnation,
         /// What shows it.
-        evidence: EndEvidence,
+        evidence: CrashEvidence,
     },
     /// An end was looked at once more, long after it.
     Reviewed {
         /// The upstream.
         incarnation: &'a UpstreamIncarnation,
         /// Whether the directory still names this run of it, so that it has not ended.
-        is_named: bool,
+        is_listed: bool,
     },
     /// One upstream alone answered a request whole.
     Answered(RequestPrint),
     /// A record is in the store.
-    Told {
+    Stored {
         /// Its key.
         key: &'a str,
         /// What it says.
         record: &'a QuarantineRecord,
     },
     /// Another VM told what it saw. The store will have it too.
-    Heard(&'a QuarantineRecord),
+    Reported(&'a QuarantineRecord),
     /// A record is not in the store any more.
     Removed(&'a str),
     /// Some time has passed.
     Housekeeping {
         /// The time of day, where it is this VM's duty to keep the records in the store in order; for people who read
         /// them.
-        coordinates_at: Option<UnixMillis>,
+        coordinator_clock: Option<UnixMillis>,
     },
 }
 
@@ -70,23 +70,23 @@
     /// Find out whether anything listens at this upstream.
     Probe(UpstreamIncarnation),
     /// Log and count that this upstream ended.
-    NoteEnd {
+    LogCrash {
         /// The upstream.
         incarnation: UpstreamIncarnation,
         /// What shows it.
-        evidence: EndEvidence,
+        evidence: CrashEvidence,
     },
     /// Log that a request has one more end against it.
-    NoteStrike {
+    LogStrike {
         /// The request, and how far it had come there.
         run: BrokenRun,
         /// The upstream that ended.
         incarnation: UpstreamIncarnation,
         /// The ends under it, whoever is to blame for them.
-        ends: usize,
+        crash_count: usize,
     },
     /// Keep a record for the other VMs.
-    Keep(QuarantineRecord),
+    Share(QuarantineRecord),
     /// Remove records, by their keys.
     Remove(Vec<String>),
 }
@@ -112,21 +112,21 @@
                 self.ends.forget(incarnation);
                 Vec::new()
             }
-            QuarantineEvent::Ended {
+            QuarantineEvent::Crashed {
                 incarnation,
                 evidence,
             } => self.note_end(now, incarnation, evidence),
             QuarantineEvent::Reviewed {
                 incarnation,
-                is_named,
-            } => self.review(now, incarnation, is_named),
+                is_listed,
+            } => self.review(now, incarnation, is_listed),
             QuarantineEvent::Answered(print) => self.clear(now, print),
-            QuarantineEvent::Told { key, record } => {
+            QuarantineEvent::Stored { key, record } => {
                 self.kept.note(now, key, record);
                 self.join(now, record);
                 Vec::new()
             }
-            QuarantineEvent::Heard(record) => {
+            QuarantineEvent::Reported(record) => {
                 self.join(now, record);
                 Vec::new()
             }
@@ -134,11 +134,11 @@
                 self.kept.forget(key);
                 Vec::new()
             }
-            QuarantineEvent::Housekeeping { coordinates_at } => {
+            QuarantineEvent::Housekeeping { coordinator_clock } => {
                 self.ledger.expire(now);
                 let held = self.ledger.quarantined();
                 let mut actions = self.renew(now, &held);
-                if let Some(today) = coordinates_at {
+                if let Some(today) = coordinator_clock {
                     actions.extend(self.keep_house(now, today, held));
                 }
                 actions
@@ -158,32 +158,32 @@
 
     /// Whether one more end would change what may be done with a request, so that it is to be known before it is
     /// repeated.
-    pub fn is_on_edge(&self, print: RequestPrint) -> bool {
+    pub fn has_open_crash(&self, print: RequestPrint) -> bool {
         self.ledger.open_ends(print) > 0
     }
 
     /// Notes that a request was refused as one in quarantine.
-    pub fn note_refused(&mut self, now: Millis, print: RequestPrint) {
+    pub fn record_rejection(&mut self, now: Millis, print: RequestPrint) {
         self.ledger.note_refused(now, print);
     }
 
     /// Whether it is to be found out of an upstream whether it ended.
-    pub fn is_awaited(&self, incarnation: &UpstreamIncarnation) -> bool {
+    pub fn may_have_crashed(&self, incarnation: &UpstreamIncarnation) -> bool {
         self.ends.is_awaited(incarnation)
     }
 
     /// Upstreams of which it is to be found out whether they ended.
-    pub fn awaited(&self) -> IndexSet<UpstreamIncarnation> {
+    pub fn pending_upstreams(&self) -> IndexSet<UpstreamIncarnation> {
         self.ends.awaited()
     }
 
     /// Whether it was seen from this VM that an upstream has ended under a request.
-    pub fn has_ended(&self, incarnation: &UpstreamIncarnation) -> bool {
+    pub fn has_crashed(&self, incarnation: &UpstreamIncarnation) -> bool {
         self.ends.has_ended(incarnation)
     }
 
     /// Ends that are to be looked at once more, where the directory has been up to date since `fresh_since`.
-    pub fn to_review(&self, now: Millis, fresh_since: Millis) -> Vec<UpstreamIncarnation> {
+    pub fn due_for_review(&self, now: Millis, fresh_since: Millis) -> Vec<UpstreamIncarnation> {
         self.ends.to_review(now, fresh_since)
     }
 
@@ -193,7 +193,7 @@
     }
 
     /// Requests under which upstreams ended, in quarantine or not.
-    pub fn known(&self) -> usize {
+    pub fn request_count(&self) -> usize {
         self.ledger.len()
     }
 
@@ -215,13 +215,13 @@
         &mut self,
         now: Millis,
         incarnation: &UpstreamIncarnation,
-        evidence: EndEvidence,
+        evidence: CrashEvidence,
     ) -> Vec<QuarantineAction> {
         let Some(runs) = self.ends.note_end(now, incarnation, evidence) else {
             return Vec::new();
         };
         let incarnation = incarnation.clone();
-        let mut actions = vec![QuarantineAction::NoteEnd {
+        let mut actions = vec![QuarantineAction::LogCrash {
             incarnation: incarnation.clone(),
             evidence,
         }];
@@ -235,16 +235,16 @@
         incarnation: &UpstreamIncarnation,
         runs: &[BrokenRun],
     ) -> Vec<QuarantineAction> {
-        let mut actions = vec![QuarantineAction::Keep(QuarantineRecord::Ended {
+        let mut actions = vec![QuarantineAction::Share(QuarantineRecord::Crash {
             incarnation: incarnation.clone(),
             runs: runs.to_vec(),
         })];
         for run in runs {
             self.ledger.note_own(now, incarnation, *run);
-            actions.push(QuarantineAction::NoteStrike {
+            actions.push(QuarantineAction::LogStrike {
                 run: *run,
                 incarnation: incarnation.clone(),
-                ends: self.ledger.open_ends(run.print),
+                crash_count: self.ledger.open_ends(run.print),
             });
         }
         actions
@@ -255,16 +255,16 @@
         &mut self,
         now: Millis,
         incarnation: &UpstreamIncarnation,
-        is_named: bool,
+        is_listed: bool,
     ) -> Vec<QuarantineAction> {
         let prints = self.ends.take_reviewed(incarnation);
-        if !is_named {
+        if !is_listed {
             return Vec::new();
         }
         let records = prints.into_iter().map(|print| {
             let incarnations = vec![incarnation.clone()];
             self.ledger.clear(now, print, incarnations.iter().cloned());
-            QuarantineAction::Keep(QuarantineRecord::Cleared {
+            QuarantineAction::Share(QuarantineRecord::Cleared {
                 print,
                 incarnations,
             })
@@ -283,7 +283,7 @@
             self.ledger.is_own(print) || self.ledger.standing(print) != RequestStanding::Good;
         self.ledger.clear(now, print, incarnations.iter().cloned());
         match is_told {
-            true => vec![QuarantineAction::Keep(QuarantineRecord::Cleared {
+            true => vec![QuarantineAction::Share(QuarantineRecord::Cleared {
                 print,
                 incarnations,
             })],
@@ -293,7 +293,7 @@
 
     fn join(&mut self, now: Millis, record: &QuarantineRecord) {
         match record {
-            QuarantineRecord::End {
+            QuarantineRecord::CrashWithoutProgress {
                 incarnation,
                 prints,
             } => {
@@ -301,7 +301,7 @@
                     self.ledger.note_end(now, incarnation, whole_blame(*print));
                 }
             }
-            QuarantineRecord::Ended { incarnation, runs } => {
+            QuarantineRecord::Crash { incarnation, runs } => {
                 for run in runs {
                     self.ledger.note_end(now, incarnation, *run);
                 }
@@ -333,7 +333,7 @@
             .filter_map(|request| self.kept.renew(now, request));
         renewed
             .take(MAX_CHANGES)
-            .map(QuarantineAction::Keep)
+            .map(QuarantineAction::Share)
             .collect()
     }
 
@@ -351,7 +351,7 @@
         let mut actions: Vec<QuarantineAction> = unkept
             .take(MAX_CHANGES)
             .map(|request| {
-                QuarantineAction::Keep(QuarantineRecord::Quarantined {
+                QuarantineAction::Share(QuarantineRecord::Quarantined {
                     print: request.print,
                     incarnations: request.ends,
                     since: today,
--- a/crates/quarantine/tests/ends.rs
+++ b/crates/quarantine/tests/ends.rs
@@ -1,7 +1,7 @@
 //! What shows that an upstream ended under a request.
 
 use bergamot_quarantine::{
-    BreakCause, BreakOutcome, BrokenRun, EndEvidence, EndWatch, RequestPrint,
+    BreakCause, BreakOutcome, BrokenRun, CrashEvidence, EndWatch, RequestPrint,
 };
 use bergamot_types::prelude::*;
 
@@ -24,7 +24,7 @@
 struct EvidenceCase {
     name: &'static str,
     cause: BreakCause,
-    evidence: EndEvidence,
+    evidence: CrashEvidence,
     after: Millis,
     is_struck: bool,
 }
@@ -35,63 +35,63 @@
         EvidenceCase {
             name: "closed, and nothing listens",
             cause: BreakCause::Closed,
-            evidence: EndEvidence::NoListener,
+            evidence: CrashEvidence::NoListener,
             after: Millis(2),
             is_struck: true,
         },
         EvidenceCase {
             name: "silent, and nothing listens",
-            cause: BreakCause::Silent,
-            evidence: EndEvidence::NoListener,
+            cause: BreakCause::Stalled,
+            evidence: CrashEvidence::NoListener,
             after: Millis(2),
             is_struck: true,
         },
         EvidenceCase {
             name: "closed, and the entry is gone some seconds later",
             cause: BreakCause::Closed,
-            evidence: EndEvidence::Unlisted,
+            evidence: CrashEvidence::Unlisted,
             after: Millis(4_500),
             is_struck: true,
         },
         EvidenceCase {
             name: "silent, and the entry is gone: it may only be cut off",
-            cause: BreakCause::Silent,
-            evidence: EndEvidence::Unlisted,
+            cause: BreakCause::Stalled,
+            evidence: CrashEvidence::Unlisted,
             after: Millis(4_500),
             is_struck: false,
         },
         EvidenceCase {
             name: "silent, and it started again",
-            cause: BreakCause::Silent,
-            evidence: EndEvidence::Restarted,
+            cause: BreakCause::Stalled,
+            evidence: CrashEvidence::Restarted,
             after: Millis(4_500),
             is_struck: true,
         },
         EvidenceCase {
             name: "its caller had left, and nothing listens",
-            cause: BreakCause::Left,
-            evidence: EndEvidence::NoListener,
+            cause: BreakCause::CallerLeft,
+            evidence: CrashEvidence::NoListener,
             after: Millis(40),
             is_struck: true,
         },
         EvidenceCase {
             name: "its caller had left, and the entry is gone: callers leave an upstream that is cut off",
-            cause: BreakCause::Left,
-            evidence: EndEvidence::Unlisted,
+            cause: BreakCause::CallerLeft,
+            evidence: CrashEvidence::Unlisted,
             after: Millis(4_500),
             is_struck: false,
         },
         EvidenceCase {
             name: "its caller had left long before",
-            cause: BreakCause::Left,
-            evidence: EndEvidence::NoListener,
+            cause: BreakCause::CallerLeft,
+            evidence: CrashEvidence::NoListener,
             after: Millis(20_000),
             is_struck: false,
         },
         EvidenceCase {
             name: "closed, and it started again long after",
             cause: BreakCause::Closed,
-            evidence: EndEvidence::Restarted,
+            evidence: CrashEvidence::Restarted,
             after: Millis(20_000),
             is_struck: false,
         },
@@ -102,8 +102,8 @@
         let outcome = ends.note_break(began, &incarnation("a"), run(1), case.cause);
         // Callers leave all the time: only a break is looked into.
         let expected = match case.cause {
-            BreakCause::Left => BreakOutcome::Awaited,
-            BreakCause::Closed | BreakCause::Silent => BreakOutcome::Probe,
+            BreakCause::CallerLeft => BreakOutcome::Awaited,
+            BreakCause::Closed | BreakCause::Stalled => BreakOutcome::Probe,
         };
         assert_eq!(outcome, expected, "{}", case.name);
         let struck = ends.note_end(began + case.after, &incarnation("a"), case.evidence);
@@ -128,13 +128,13 @@
             BreakOutcome::Probe
         ]
     );
-    let struck = ends.note_end(now, &incarnation("a"), EndEvidence::NoListener);
+    let struck = ends.note_end(now, &incarnation("a"), CrashEvidence::NoListener);
     assert_eq!(struck, Some(vec![run(1), run(2)]));
     // A break that is noticed after the end counts at once, and the same evidence again does not.
     let late = ends.note_break(now + Millis(3), &incarnation("a"), run(4), closed);
     assert_eq!(late, BreakOutcome::Ended);
     assert_eq!(
-        ends.note_end(now, &incarnation("a"), EndEvidence::NoListener),
+        ends.note_end(now, &incarnation("a"), CrashEvidence::NoListener),
         None
     );
     // Another run under the same id has not ended.
@@ -178,7 +178,7 @@
         let mut ends = EndWatch::default();
         let at = now - case.ended;
         ends.note_break(at, &incarnation("a"), run(1), BreakCause::Closed);
-        ends.note_end(at, &incarnation("a"), EndEvidence::NoListener);
+        ends.note_end(at, &incarnation("a"), CrashEvidence::NoListener);
         ends.note_break(at, &incarnation("a"), run(2), BreakCause::Closed);
         let due = ends.to_review(now, now - case.fresh);
         assert_eq!(due.len(), usize::from(case.is_due), "{}", case.name);
@@ -191,7 +191,7 @@
 #[test]
 fn requests_whose_callers_left_count_with_the_next_break() {
     let mut ends = EndWatch::default();
-    let (now, left) = (Millis(1_000), BreakCause::Left);
+    let (now, left) = (Millis(1_000), BreakCause::CallerLeft);
     for number in 0..200 {
         let at = now + Millis(u64::from(number) * 50);
         let outcome = ends.note_break(at, &incarnation("a"), run(number), left);
@@ -204,7 +204,7 @@
         BreakOutcome::Probe,
         "the first break is looked into"
     );
-    let struck = ends.note_end(end, &incarnation("a"), EndEvidence::NoListener);
+    let struck = ends.note_end(end, &incarnation("a"), CrashEvidence::NoListener);
     let struck = struck.expect("there were some");
     assert!(struck.contains(&run(199)) && struck.contains(&run(201)));
     assert!(!struck.contains(&run(0)), "that was long before");
@@ -213,7 +213,7 @@
     ends.note_break(end, &incarnation("b"), run(1), BreakCause::Closed);
     ends.forget(&incarnation("b"));
     assert_eq!(
-        ends.note_end(end, &incarnation("b"), EndEvidence::Unlisted),
+        ends.note_end(end, &incarnation("b"), CrashEvidence::Unlisted),
         None
     );
 }
--- a/crates/quarantine/tests/kept.rs
+++ b/crates/quarantine/tests/kept.rs
@@ -15,7 +15,7 @@
 const TODAY: UnixMillis = UnixMillis(1_700_000_000_000);
 /// At the VM that coordinates.
 const HOUSEKEEPING: QuarantineEvent<'static> = QuarantineEvent::Housekeeping {
-    coordinates_at: Some(TODAY),
+    coordinator_clock: Some(TODAY),
 };
 
 struct ElsewhereCase {
@@ -50,16 +50,16 @@
         let mut coordinator = QuarantineState::default();
         let mut other = QuarantineState::default();
         for vm in [&mut coordinator, &mut other] {
-            vm.handle(NOW, QuarantineEvent::Told { key, record });
+            vm.handle(NOW, QuarantineEvent::Stored { key, record });
         }
-        other.note_refused(case.refused_at, print(7));
+        other.record_rejection(case.refused_at, print(7));
         // What the other VM tells of it reaches the one that coordinates.
         let event = QuarantineEvent::Housekeeping {
-            coordinates_at: None,
+            coordinator_clock: None,
         };
         let told = kept(other.handle(case.refused_at, event));
         for record in &told {
-            coordinator.handle(case.refused_at, QuarantineEvent::Told { key, record });
+            coordinator.handle(case.refused_at, QuarantineEvent::Stored { key, record });
         }
         let actions = coordinator.handle(NOW + day, HOUSEKEEPING);
         let removed = QuarantineAction::Remove(vec![key.to_owned()]);
--- a/crates/quarantine/tests/state.rs
+++ b/crates/quarantine/tests/state.rs
@@ -4,7 +4,7 @@
 mod records;
 
 use bergamot_quarantine::{
-    BreakCause, BrokenRun, EndEvidence, QuarantineAction, QuarantineEvent, QuarantineRecord,
+    BreakCause, BrokenRun, CrashEvidence, QuarantineAction, QuarantineEvent, QuarantineRecord,
     QuarantineState, RequestStanding,
 };
 use bergamot_types::prelude::*;
@@ -15,7 +15,7 @@
 const TODAY: UnixMillis = UnixMillis(1_700_000_000_000);
 /// At the VM that coordinates.
 const HOUSEKEEPING: QuarantineEvent<'static> = QuarantineEvent::Housekeeping {
-    coordinates_at: Some(TODAY),
+    coordinator_clock: Some(TODAY),
 };
 
 /// An upstream ends under a request: what this VM keeps for the others.
@@ -30,9 +30,9 @@
         cause: BreakCause::Closed,
     };
     let mut actions = state.handle(now, broken);
-    let ended = QuarantineEvent::Ended {
+    let ended = QuarantineEvent::Crashed {
         incarnation: &incarnation,
-        evidence: EndEvidence::NoListener,
+        evidence: CrashEvidence::NoListener,
     };
     actions.extend(state.handle(now, ended));
     kept(actions)
@@ -46,7 +46,7 @@
 fn tell(state: &mut QuarantineState, now: Millis, records: &[QuarantineRecord]) {
     for (number, record) in records.iter().enumerate() {
         let key = &format!("{number}");
-        state.handle(now, QuarantineEvent::Told { key, record });
+        state.handle(now, QuarantineEvent::Stored { key, record });
     }
 }
 
@@ -131,10 +131,12 @@
     bolero::check!()
         .with_type::<(Vec<(u8, u8)>, Vec<(u8, u8)>, u64)>()
         .for_each(|(ends, clears, shuffle)| {
-            let ends = ends.iter().map(|(at, request)| QuarantineRecord::End {
-                incarnation: incarnation(u64::from(*at % 5)),
-                prints: vec![print(u64::from(*request % 3))],
-            });
+            let ends = ends
+                .iter()
+                .map(|(at, request)| QuarantineRecord::CrashWithoutProgress {
+                    incarnation: incarnation(u64::from(*at % 5)),
+                    prints: vec![print(u64::from(*request % 3))],
+                });
             let clears = clears
                 .iter()
                 .map(|(at, request)| QuarantineRecord::Cleared {
@@ -210,16 +212,16 @@
     }
     for request in 1..40_000 {
         let now = NOW + Millis(request);
-        let record = QuarantineRecord::End {
+        let record = QuarantineRecord::CrashWithoutProgress {
             incarnation: incarnation(4 + request / 26),
             prints: vec![print(request)],
         };
         tell(&mut vm, now, &[record]);
     }
-    assert!(vm.known() <= 8_192, "{}", vm.known());
+    assert!(vm.request_count() <= 8_192, "{}", vm.request_count());
     assert_eq!(vm.standing(print(0)), RequestStanding::Quarantined);
     // The latest ones are known.
-    assert!(vm.is_on_edge(print(39_999)));
+    assert!(vm.has_open_crash(print(39_999)));
 }
 
 struct AgeCase {
@@ -276,13 +278,13 @@
             end(&mut vm, NOW, upstream, 7);
         }
         if case.is_refused_meanwhile {
-            vm.note_refused(NOW + HOUR, print(7));
+            vm.record_rejection(NOW + HOUR, print(7));
         }
         let event = QuarantineEvent::Housekeeping {
-            coordinates_at: None,
+            coordinator_clock: None,
         };
         vm.handle(NOW + case.age, event);
-        assert_eq!(vm.is_on_edge(print(7)), case.is_known, "{}", case.name);
+        assert_eq!(vm.has_open_crash(print(7)), case.is_known, "{}", case.name);
     }
 }
 
@@ -307,7 +309,7 @@
     assert_eq!(held, std::slice::from_ref(&expected));
     let key = "held";
     let record = &expected;
-    vm.handle(settled, QuarantineEvent::Told { key, record });
+    vm.handle(settled, QuarantineEvent::Stored { key, record });
     assert_eq!(vm.handle(settled, HOUSEKEEPING), []);
     // It outlives the ends that led to it.
     let later = NOW + HOUR;
@@ -329,7 +331,7 @@
 
 #[test]
 fn records_of_another_version_are_told_apart() {
-    let record = QuarantineRecord::Ended {
+    let record = QuarantineRecord::Crash {
         incarnation: incarnation(1),
         runs: vec![BrokenRun {
             print: print(7),
--- a/crates/quarantine/tests/support/mod.rs
+++ b/crates/quarantine/tests/support/mod.rs
@@ -3,7 +3,7 @@
 mod records;
 
 use bergamot_quarantine::{
-    BreakCause, BrokenRun, EndEvidence, QuarantineAction, QuarantineEvent, QuarantineRecord,
+    BreakCause, BrokenRun, CrashEvidence, QuarantineAction, QuarantineEvent, QuarantineRecord,
     QuarantineState, RequestStanding,
 };
 use bergamot_types::prelude::*;
@@ -209,7 +209,7 @@
         let due = self.news.extract_if(.., |(at, _)| *at <= now);
         for (_, record) in due {
             for vm in &mut self.vms {
-                vm.handle(now, QuarantineEvent::Heard(&record));
+                vm.handle(now, QuarantineEvent::Reported(&record));
             }
         }
     }
@@ -293,7 +293,7 @@
         self.outcome.beside += usize::from(!run.request.is_harmful);
         let broken = run.broken(now);
         let vm = &mut self.vms[run.vm];
-        let (cause, evidence) = (BreakCause::Closed, EndEvidence::NoListener);
+        let (cause, evidence) = (BreakCause::Closed, CrashEvidence::NoListener);
         let mut actions = vm.handle(
             now,
             QuarantineEvent::Broken {
@@ -304,14 +304,14 @@
         );
         actions.extend(vm.handle(
             now,
-            QuarantineEvent::Ended {
+            QuarantineEvent::Crashed {
                 incarnation,
                 evidence,
             },
         ));
         let is_held = vm.standing(broken.print) != RequestStanding::Good;
         for action in actions {
-            if let QuarantineAction::Keep(record) = action {
+            if let QuarantineAction::Share(record) = action {
                 self.news.push((now + NEWS_TIME, record));
             }
         }
--- a/crates/quarantine/tests/support/records.rs
+++ b/crates/quarantine/tests/support/records.rs
@@ -16,7 +16,7 @@
 /// Records that are to be kept for the others.
 pub fn kept(actions: Vec<QuarantineAction>) -> Vec<QuarantineRecord> {
     let kept = actions.into_iter().filter_map(|action| match action {
-        QuarantineAction::Keep(record) => Some(record),
+        QuarantineAction::Share(record) => Some(record),
         _ => None,
     });
     kept.collect()
