--- a/crates/gateway/src/front/exchange.rs
+++ b/crates/gateway/src/front/exchange.rs
@@ -123,7 +123,7 @@
         Ok(PeerNotice::Silent(notice)) => take_silence(front, &notice),
         Ok(PeerNotice::Limit(notice)) => take_limit(front, &notice),
         Ok(PeerNotice::PermitQuestion(question)) => {
-            answer_quota(front, QuotaEvent::Asked(&question))
+            answer_quota(front, QuotaEvent::PermitRequested(&question))
         }
         Ok(PeerNotice::PermitAnswer(answer)) => {
             settle(front, &answer);
@@ -214,7 +214,7 @@
     front: &FrontContext<Dialect>,
     notice: &LimitNotice,
 ) -> Vec<AddressedNotice> {
-    let event = QuotaEvent::Told(&notice.report);
+    let event = QuotaEvent::Reported(&notice.report);
     let actions = front.quota.borrow_mut().handle(front.now(), event);
     act(front, actions);
     let hops = {
--- a/crates/gateway/src/front/limits.rs
+++ b/crates/gateway/src/front/limits.rs
@@ -1,7 +1,7 @@
 //! Limits that upstreams advertise in their answers.
 
 use bergamot_ports::ReplyFacts;
-use bergamot_quota::{LimitChange, LimitObservation, QuotaAction, QuotaEvent, QuotaPlace};
+use bergamot_quota::{LimitChange, LimitObservation, QuotaAction, QuotaEvent, QuotaTarget};
 use bergamot_routing::RouteUpstream;
 use bergamot_types::prelude::*;
 
@@ -20,7 +20,7 @@
         Ok(rate) => rate,
         Err(error) => {
             let mut quota = front.quota.borrow_mut();
-            if quota.limits_mut().note_unreadable(incarnation, error) {
+            if quota.limits_mut().record_malformed(incarnation, error) {
                 log::warn!("event=limit_unreadable upstream={incarnation} reason=\"{error}\"");
             }
             return;
@@ -34,18 +34,18 @@
     let observation = LimitObservation {
         rate,
         sent_at,
-        heard_at: now,
+        received_at: now,
     };
     let actions = front
         .quota
         .borrow_mut()
-        .handle(now, QuotaEvent::Answered(place_of(upstream), observation));
+        .handle(now, QuotaEvent::Observed(place_of(upstream), observation));
     act(front, actions);
 }
 
 /// An upstream as its quota goes by it.
-pub fn place_of(upstream: &RouteUpstream) -> QuotaPlace<'_> {
-    QuotaPlace {
+pub fn place_of(upstream: &RouteUpstream) -> QuotaTarget<'_> {
+    QuotaTarget {
         incarnation: &upstream.incarnation,
         failure_domain: &upstream.failure_domain,
     }
@@ -56,9 +56,9 @@
     let mut answers = Vec::new();
     for action in actions {
         match action {
-            QuotaAction::NoteChange(upstream, change) => note_change(front, &upstream, change),
-            QuotaAction::Tell(report) => front.tell_quota(QuotaNews::Report(report)),
-            QuotaAction::HoldBack {
+            QuotaAction::LogChange(upstream, change) => note_change(front, &upstream, change),
+            QuotaAction::Broadcast(report) => front.tell_quota(QuotaNews::Report(report)),
+            QuotaAction::BackOff {
                 incarnation,
                 priority,
                 wait,
@@ -87,10 +87,10 @@
     change: LimitChange,
 ) {
     match change {
-        LimitChange::Named(rate) => {
+        LimitChange::Advertised(rate) => {
             log::info!("event=upstream_limited upstream={incarnation} rate={rate}");
         }
-        LimitChange::Ended => {
+        LimitChange::Withdrawn => {
             front.book.borrow_mut().gates.release(incarnation);
             log::info!("event=upstream_unlimited upstream={incarnation}");
         }
--- a/crates/gateway/src/front/permits.rs
+++ b/crates/gateway/src/front/permits.rs
@@ -84,9 +84,12 @@
 ) -> Option<SendPermit> {
     let claim = claim_of(request);
     let now = front.now();
-    let step = front.quota.borrow_mut().ask(now, place_of(upstream), claim);
+    let step = front
+        .quota
+        .borrow_mut()
+        .request_permit(now, place_of(upstream), claim);
     let permit = match step {
-        PermitStep::Free => return Some(SendPermit::Free),
+        PermitStep::NotNeeded => return Some(SendPermit::Free),
         PermitStep::Granted => Some(SendPermit::Given(now)),
         PermitStep::Later(wait) => {
             hold_back(front, &upstream.incarnation, claim.priority, wait);
@@ -133,7 +136,7 @@
         Ok(Ok(PermitVerdict::Later(_))) => None,
         Ok(Err(_)) | Err(_) => {
             front.permits.leave(number);
-            let event = QuotaEvent::Unanswered(number);
+            let event = QuotaEvent::TimedOut(number);
             let actions = front.quota.borrow_mut().handle(front.now(), event);
             act(front, actions);
             log::info!("event=permit_unanswered upstream={incarnation} owner={asked_of}");
@@ -144,7 +147,7 @@
 
 /// Takes in the owner's answer to a question of this VM.
 pub fn settle<Dialect>(front: &FrontContext<Dialect>, answer: &PermitAnswer) {
-    let event = QuotaEvent::Settled(answer);
+    let event = QuotaEvent::PermitAnswered(answer);
     let actions = front.quota.borrow_mut().handle(front.now(), event);
     act(front, actions);
     if let Some(waiting) = front.permits.leave(answer.number) {
--- a/crates/load/src/experiment/limits.rs
+++ b/crates/load/src/experiment/limits.rs
@@ -4,7 +4,7 @@
 
 use bergamot_quota::{
     LimitObservation, LimitReport, PermitAnswer, PermitClaim, PermitQuestion, PermitStep,
-    PermitVerdict, QuotaAction, QuotaEvent, QuotaPlace, QuotaState, TokenBucket,
+    PermitVerdict, QuotaAction, QuotaEvent, QuotaState, QuotaTarget, TokenBucket,
 };
 use bergamot_types::prelude::*;
 use rand::{Rng, SeedableRng};
@@ -282,7 +282,7 @@
             return;
         }
         let (incarnation, failure_domain) = (self.incarnation.clone(), self.domain.clone());
-        let place = QuotaPlace {
+        let place = QuotaTarget {
             incarnation: &incarnation,
             failure_domain: &failure_domain,
         };
@@ -290,8 +290,8 @@
             priority: 1,
             account: 7,
         };
-        match self.vms[vm].quota.ask(Millis(now), place, claim) {
-            PermitStep::Free | PermitStep::Granted => self.send(vm, now),
+        match self.vms[vm].quota.request_permit(Millis(now), place, claim) {
+            PermitStep::NotNeeded | PermitStep::Granted => self.send(vm, now),
             PermitStep::Later(wait) => self.vms[vm].held_until = now + wait.0,
             PermitStep::Ask { owner, question } => {
                 let owner = owner.trim_start_matches("vm-").parse().expect("a number");
@@ -333,15 +333,15 @@
     fn take_in(&mut self, vm: usize, now: u64, message: &Message) {
         let actions = match message {
             Message::Word(report) => {
-                let event = QuotaEvent::Told(report);
+                let event = QuotaEvent::Reported(report);
                 self.vms[vm].quota.handle(Millis(now), event)
             }
             Message::Question(question) => {
-                let event = QuotaEvent::Asked(question);
+                let event = QuotaEvent::PermitRequested(question);
                 self.vms[vm].quota.handle(Millis(now), event)
             }
             Message::Answer(answer) => {
-                let event = QuotaEvent::Settled(answer);
+                let event = QuotaEvent::PermitAnswered(answer);
                 let actions = self.vms[vm].quota.handle(Millis(now), event);
                 // A second copy of an answer finds nobody who waits.
                 let is_first = self.settled.insert(answer.number);
@@ -357,8 +357,8 @@
                     let to = vm.trim_start_matches("vm-").parse().expect("a number");
                     self.post(now, to, || Message::Answer(answer));
                 }
-                QuotaAction::HoldBack { wait, .. } => self.vms[vm].held_until = now + wait.0,
-                QuotaAction::NoteChange(..) | QuotaAction::Tell(_) => {}
+                QuotaAction::BackOff { wait, .. } => self.vms[vm].held_until = now + wait.0,
+                QuotaAction::LogChange(..) | QuotaAction::Broadcast(_) => {}
             }
         }
     }
@@ -373,17 +373,17 @@
         let observation = LimitObservation {
             rate: Some(SendRate::from_milli(milli)),
             sent_at: Millis(now),
-            heard_at: Millis(now),
+            received_at: Millis(now),
         };
         let (incarnation, failure_domain) = (self.incarnation.clone(), self.domain.clone());
-        let place = QuotaPlace {
+        let place = QuotaTarget {
             incarnation: &incarnation,
             failure_domain: &failure_domain,
         };
-        let event = QuotaEvent::Answered(place, observation);
+        let event = QuotaEvent::Observed(place, observation);
         let actions = self.vms[vm].quota.handle(Millis(now), event);
         for action in actions {
-            if let QuotaAction::Tell(report) = action
+            if let QuotaAction::Broadcast(report) = action
                 && self.plan.tells
             {
                 for to in (0..self.vms.len()).filter(|to| *to != vm) {
--- a/crates/peer/tests/frame.rs
+++ b/crates/peer/tests/frame.rs
@@ -147,7 +147,7 @@
             failure_domain: FailureDomain::new("hodmezo-ring"),
             rate: Some(SendRate::from_milli(1_900)),
             sent_age: Millis(600_000),
-            heard_age: Millis(600_000),
+            received_age: Millis(600_000),
         },
         claim: PermitClaim {
             priority: 9,
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -29,4 +29,4 @@
 pub use fleet::QuotaFleet;
 pub use limit::{LimitChange, LimitObservation, LimitTable};
 pub use message::{LimitReport, PermitAnswer, PermitClaim, PermitQuestion, PermitVerdict};
-pub use state::{PermitStep, QuotaAction, QuotaEvent, QuotaPlace, QuotaState};
+pub use state::{PermitStep, QuotaAction, QuotaEvent, QuotaState, QuotaTarget};
--- a/crates/quota/src/limit.rs
+++ b/crates/quota/src/limit.rs
@@ -18,17 +18,17 @@
     /// When the request was sent whose answer said so.
     pub sent_at: Millis,
     /// When that answer came.
-    pub heard_at: Millis,
+    pub received_at: Millis,
 }
 
 impl LimitObservation {
     /// What holds after `next` was seen as well. Where their order is not known it is the lower limit, which the next answer
     /// corrects.
     fn followed_by(self, next: Self) -> Self {
-        if next.sent_at >= self.heard_at {
+        if next.sent_at >= self.received_at {
             return next;
         }
-        if next.heard_at <= self.sent_at {
+        if next.received_at <= self.sent_at {
             return self;
         }
         match (self.rate, next.rate) {
@@ -39,7 +39,7 @@
             _ => Self {
                 rate: self.rate,
                 sent_at: self.sent_at.max(next.sent_at),
-                heard_at: self.heard_at.max(next.heard_at),
+                received_at: self.received_at.max(next.received_at),
             },
         }
     }
@@ -49,9 +49,9 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum LimitChange {
     /// The upstream takes so many requests from now on.
-    Named(SendRate),
+    Advertised(SendRate),
     /// It advertises no limit any more.
-    Ended,
+    Withdrawn,
 }
 
 /// What is known of one upstream.
@@ -95,7 +95,7 @@
     ) -> Option<LimitChange> {
         let Some(known) = self.observations.get_mut(incarnation) else {
             let rate = observation.rate?;
-            let listed_at = observation.heard_at;
+            let listed_at = observation.received_at;
             self.observations.insert(
                 incarnation.clone(),
                 KnownLimit {
@@ -103,20 +103,24 @@
                     listed_at,
                 },
             );
-            return Some(LimitChange::Named(rate));
+            return Some(LimitChange::Advertised(rate));
         };
         let before = known.observation.rate;
         known.observation = known.observation.followed_by(observation);
         match known.observation.rate {
             rate if rate == before => None,
-            Some(rate) => Some(LimitChange::Named(rate)),
-            None => Some(LimitChange::Ended),
+            Some(rate) => Some(LimitChange::Advertised(rate)),
+            None => Some(LimitChange::Withdrawn),
         }
     }
 
     /// Notes a report that could not be read: the one before it holds. Says whether that is to be logged, which it is once for
     /// each run and reason.
-    pub fn note_unreadable(&mut self, incarnation: &UpstreamIncarnation, error: RateError) -> bool {
+    pub fn record_malformed(
+        &mut self,
+        incarnation: &UpstreamIncarnation,
+        error: RateError,
+    ) -> bool {
         self.unreadable.insert(incarnation.clone(), error) != Some(error)
     }
 
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -21,7 +21,7 @@
     /// Time since the request was sent whose answer said so.
     pub sent_age: Millis,
     /// Time since that answer came.
-    pub heard_age: Millis,
+    pub received_age: Millis,
 }
 
 impl LimitReport {
@@ -37,7 +37,7 @@
             failure_domain: failure_domain.clone(),
             rate: observation.rate,
             sent_age: now.since(observation.sent_at),
-            heard_age: now.since(observation.heard_at),
+            received_age: now.since(observation.received_at),
         }
     }
 
@@ -47,7 +47,7 @@
         LimitObservation {
             rate: self.rate,
             sent_at: now.since(self.sent_age + NEWS_TIME),
-            heard_at: now.since(self.heard_age),
+            received_at: now.since(self.received_age),
         }
     }
 }
--- a/crates/quota/src/state.rs
+++ b/crates/quota/src/state.rs
@@ -18,7 +18,7 @@
 
 /// An upstream with a limit, or without.
 #[derive(Clone, Copy, Debug)]
-pub struct QuotaPlace<'a> {
+pub struct QuotaTarget<'a> {
     /// Which run of it.
     pub incarnation: &'a UpstreamIncarnation,
     /// Where it is.
@@ -29,24 +29,24 @@
 #[derive(Clone, Copy, Debug)]
 pub enum QuotaEvent<'a> {
     /// An upstream answered this VM.
-    Answered(QuotaPlace<'a>, LimitObservation),
+    Observed(QuotaTarget<'a>, LimitObservation),
     /// Another VM tells of a limit.
-    Told(&'a LimitReport),
+    Reported(&'a LimitReport),
     /// Another VM asks for a permit.
-    Asked(&'a PermitQuestion),
+    PermitRequested(&'a PermitQuestion),
     /// The owner answered a question of this VM.
-    Settled(&'a PermitAnswer),
+    PermitAnswered(&'a PermitAnswer),
     /// No answer came in time to the question of this number.
-    Unanswered(u64),
+    TimedOut(u64),
 }
 
 /// What is to be done.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum QuotaAction {
     /// Log the limit an upstream advertises now.
-    NoteChange(UpstreamIncarnation, LimitChange),
+    LogChange(UpstreamIncarnation, LimitChange),
     /// Tell all other VMs.
-    Tell(LimitReport),
+    Broadcast(LimitReport),
     /// Answer the VM that asked.
     Answer {
         /// The VM.
@@ -55,7 +55,7 @@
         answer: PermitAnswer,
     },
     /// Send nothing more there for a while that is no more urgent.
-    HoldBack {
+    BackOff {
         /// The upstream.
         incarnation: UpstreamIncarnation,
         /// The rank of the request that was turned away.
@@ -69,7 +69,7 @@
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum PermitStep {
     /// None is needed.
-    Free,
+    NotNeeded,
     /// It has one.
     Granted,
     /// There is none for this time.
@@ -156,9 +156,14 @@
     }
 
     /// How a request that is to be sent to an upstream gets its permit.
-    pub fn ask(&mut self, now: Millis, place: QuotaPlace<'_>, claim: PermitClaim) -> PermitStep {
+    pub fn request_permit(
+        &mut self,
+        now: Millis,
+        place: QuotaTarget<'_>,
+        claim: PermitClaim,
+    ) -> PermitStep {
         let Some((observation, rate)) = self.limits.limit(place.incarnation) else {
-            return PermitStep::Free;
+            return PermitStep::NotNeeded;
         };
         let Some(owner) = self.fleet.owner(place.incarnation, place.failure_domain) else {
             return PermitStep::Later(SILENT_TIME);
@@ -167,7 +172,7 @@
             return match self.deal(now, place, rate, claim) {
                 PermitVerdict::Granted => PermitStep::Granted,
                 PermitVerdict::Later(wait) => PermitStep::Later(wait),
-                PermitVerdict::Unlimited => PermitStep::Free,
+                PermitVerdict::Unlimited => PermitStep::NotNeeded,
             };
         }
         let owner = owner.to_owned();
@@ -196,29 +201,29 @@
     /// Takes in what happened and says what to do.
     pub fn handle(&mut self, now: Millis, event: QuotaEvent<'_>) -> Vec<QuotaAction> {
         match event {
-            QuotaEvent::Answered(place, observation) => self.hear(now, place, observation),
-            QuotaEvent::Told(report) => self.take_report(now, report).into_iter().collect(),
-            QuotaEvent::Asked(question) => self.answer(now, question),
-            QuotaEvent::Settled(answer) => self.settle(now, answer),
-            QuotaEvent::Unanswered(number) => self.give_up(number),
+            QuotaEvent::Observed(place, observation) => self.hear(now, place, observation),
+            QuotaEvent::Reported(report) => self.take_report(now, report).into_iter().collect(),
+            QuotaEvent::PermitRequested(question) => self.answer(now, question),
+            QuotaEvent::PermitAnswered(answer) => self.settle(now, answer),
+            QuotaEvent::TimedOut(number) => self.give_up(number),
         }
     }
 
     fn hear(
         &mut self,
         now: Millis,
-        place: QuotaPlace<'_>,
+        place: QuotaTarget<'_>,
         observation: LimitObservation,
     ) -> Vec<QuotaAction> {
         let Some(change) = self.limits.note(place.incarnation, observation) else {
             return Vec::new();
         };
-        let mut actions = vec![QuotaAction::NoteChange(place.incarnation.clone(), change)];
+        let mut actions = vec![QuotaAction::LogChange(place.incarnation.clone(), change)];
         let told_at = self.told_at.get(place.incarnation);
         if told_at.is_none_or(|at| now.since(*at) >= TELL_PERIOD) {
             self.told_at.insert(place.incarnation.clone(), now);
             let report = LimitReport::of(place.incarnation, place.failure_domain, observation, now);
-            actions.push(QuotaAction::Tell(report));
+            actions.push(QuotaAction::Broadcast(report));
         }
         actions
     }
@@ -227,13 +232,13 @@
         let change = self
             .limits
             .note(&report.incarnation, report.observation(now))?;
-        Some(QuotaAction::NoteChange(report.incarnation.clone(), change))
+        Some(QuotaAction::LogChange(report.incarnation.clone(), change))
     }
 
     fn answer(&mut self, now: Millis, question: &PermitQuestion) -> Vec<QuotaAction> {
         let report = &question.report;
         let mut actions: Vec<QuotaAction> = self.take_report(now, report).into_iter().collect();
-        let place = QuotaPlace {
+        let place = QuotaTarget {
             incarnation: &report.incarnation,
             failure_domain: &report.failure_domain,
         };
@@ -259,7 +264,7 @@
     fn deal(
         &mut self,
         now: Millis,
-        place: QuotaPlace<'_>,
+        place: QuotaTarget<'_>,
         rate: SendRate,
         claim: PermitClaim,
     ) -> PermitVerdict {
@@ -288,10 +293,10 @@
                 let observation = LimitObservation {
                     rate: None,
                     sent_at: asked.asked_at,
-                    heard_at: now,
+                    received_at: now,
                 };
                 let change = self.limits.note(&asked.incarnation, observation);
-                let note = change.map(|change| QuotaAction::NoteChange(asked.incarnation, change));
+                let note = change.map(|change| QuotaAction::LogChange(asked.incarnation, change));
                 note.into_iter().collect()
             }
         }
@@ -306,7 +311,7 @@
 
 impl AskedPermit {
     fn hold_back(self, wait: Millis) -> QuotaAction {
-        QuotaAction::HoldBack {
+        QuotaAction::BackOff {
             incarnation: self.incarnation,
             priority: self.priority,
             wait,
--- a/crates/quota/tests/limit.rs
+++ b/crates/quota/tests/limit.rs
@@ -7,14 +7,14 @@
     UpstreamIncarnation::new(UpstreamId::new("u"), Some(UnixMillis(started_at)))
 }
 
-const fn observation(sent_at: u64, heard_at: u64, milli: Option<u32>) -> LimitObservation {
+const fn observation(sent_at: u64, received_at: u64, milli: Option<u32>) -> LimitObservation {
     LimitObservation {
         rate: match milli {
             Some(milli) => Some(SendRate::from_milli(milli)),
             None => None,
         },
         sent_at: Millis(sent_at),
-        heard_at: Millis(heard_at),
+        received_at: Millis(received_at),
     }
 }
 
@@ -101,7 +101,7 @@
 #[test]
 fn a_change_is_told_once() {
     let mut table = LimitTable::default();
-    let named = LimitChange::Named(SendRate::from_milli(2_000));
+    let named = LimitChange::Advertised(SendRate::from_milli(2_000));
     assert_eq!(table.note(&incarnation(1), observation(0, 10, None)), None);
     assert_eq!(
         table.note(&incarnation(1), observation(0, 10, Some(2_000))),
@@ -111,7 +111,7 @@
         table.note(&incarnation(1), observation(11, 20, Some(2_000))),
         None
     );
-    let ended = Some(LimitChange::Ended);
+    let ended = Some(LimitChange::Withdrawn);
     assert_eq!(
         table.note(&incarnation(1), observation(21, 30, None)),
         ended
@@ -133,9 +133,9 @@
 fn a_word_that_cannot_be_read_leaves_the_one_before_it_and_is_logged_once() {
     let mut table = LimitTable::default();
     table.note(&incarnation(1), observation(0, 10, Some(2_000)));
-    assert!(table.note_unreadable(&incarnation(1), RateError::Empty));
-    assert!(!table.note_unreadable(&incarnation(1), RateError::Empty));
-    assert!(table.note_unreadable(&incarnation(1), RateError::Repeated));
+    assert!(table.record_malformed(&incarnation(1), RateError::Empty));
+    assert!(!table.record_malformed(&incarnation(1), RateError::Empty));
+    assert!(table.record_malformed(&incarnation(1), RateError::Repeated));
     assert_eq!(
         table.rate(&incarnation(1)),
         Some(SendRate::from_milli(2_000))
