--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -67,7 +67,7 @@
 
     /// When a request that is read now must be over. None while every request is taken.
     pub fn answer_end(&self, now: Millis) -> Option<Millis> {
-        self.state.borrow().answer_end(now)
+        self.state.borrow().answer_deadline(now)
     }
 
     /// Whether the end is decided, so that nothing may be sent on any more.
@@ -108,11 +108,11 @@
                 let connections = self.state.borrow().connections();
                 log::info!("event=stopping connections={connections}");
             }
-            ShutdownAction::Close => {
+            ShutdownAction::CloseListener => {
                 self.closing.send_replace(true);
             }
             ShutdownAction::Reject => log::debug!("event=caller_lost reason=stopping"),
-            ShutdownAction::End { cut } => {
+            ShutdownAction::Exit { cut } => {
                 let since = self.shared.stop_age(now).unwrap_or_default();
                 log::info!("event=stopped connections={cut} since_stop={since}");
                 self.has_ended.set(true);
--- a/crates/shutdown/src/state.rs
+++ b/crates/shutdown/src/state.rs
@@ -28,11 +28,11 @@
     /// Tell the balancer and the other duties of the stop.
     Announce,
     /// Accept who waits to be accepted, and close the listener; close the connections whose callers wait for no answer.
-    Close,
+    CloseListener,
     /// Close a connection that was accepted too late, unread.
     Reject,
     /// End the process; so many connections are cut.
-    End {
+    Exit {
         /// Connections that are still open.
         cut: usize,
     },
@@ -98,7 +98,7 @@
 
     /// When a request that is read now must be over, so that the end of the process cannot cut it. None while every
     /// request is taken: callers who have not heard of a stop may send requests that outlast its grace.
-    pub fn answer_end(&self, now: Millis) -> Option<Millis> {
+    pub fn answer_deadline(&self, now: Millis) -> Option<Millis> {
         match &self.phase {
             CurrentPhase::Serving(_) => None,
             CurrentPhase::Notified(state) => {
@@ -158,7 +158,7 @@
     fn advance(&mut self, now: Millis, actions: &mut Vec<ShutdownAction>) {
         self.replace(|phase| match phase {
             CurrentPhase::Notified(state) if may_close(&state, now) => {
-                actions.push(ShutdownAction::Close);
+                actions.push(ShutdownAction::CloseListener);
                 CurrentPhase::Closing(state.close())
             }
             other => other,
@@ -175,7 +175,7 @@
         self.replace(|phase| match phase {
             CurrentPhase::Draining(state) if may_end(&state, now) => {
                 let cut = state.connections();
-                actions.push(ShutdownAction::End { cut });
+                actions.push(ShutdownAction::Exit { cut });
                 CurrentPhase::Ended(state.end())
             }
             other => other,
--- a/crates/shutdown/tests/random.rs
+++ b/crates/shutdown/tests/random.rs
@@ -61,12 +61,12 @@
         let age = now.since(began);
         match action {
             ShutdownAction::Announce => assert_eq!(age, Millis::ZERO),
-            ShutdownAction::Close => {
+            ShutdownAction::CloseListener => {
                 assert!(!self.is_closing && age >= options.notice);
                 self.is_closing = true;
             }
             ShutdownAction::Reject => {}
-            ShutdownAction::End { cut } => {
+            ShutdownAction::Exit { cut } => {
                 assert!(!self.has_ended, "it ends once");
                 assert_eq!(cut, self.open);
                 let is_over = age >= options.end;
@@ -113,10 +113,10 @@
         let is_done = match to {
             PhaseName::Serving | PhaseName::Draining => true,
             PhaseName::Notified => actions.contains(&ShutdownAction::Announce),
-            PhaseName::Closing => actions.contains(&ShutdownAction::Close),
+            PhaseName::Closing => actions.contains(&ShutdownAction::CloseListener),
             PhaseName::Ended => {
                 let mut ends = actions.iter();
-                ends.any(|it| matches!(it, ShutdownAction::End { .. }))
+                ends.any(|it| matches!(it, ShutdownAction::Exit { .. }))
             }
         };
         assert!(is_done, "seed {seed}: {to:?} without its action");
@@ -129,7 +129,7 @@
     };
     let is_over = now.since(began) >= options.end;
     assert!(!is_over || account.has_ended, "seed {seed}: past its grace");
-    let end = state.answer_end(now);
+    let end = state.answer_deadline(now);
     let is_bounded = end.is_some_and(|end| end <= began + options.end);
     let is_noticed = now.since(began) >= options.notice;
     assert!(!is_noticed || is_bounded, "seed {seed}: {end:?}");
--- a/crates/shutdown/tests/state.rs
+++ b/crates/shutdown/tests/state.rs
@@ -1,6 +1,6 @@
 //! What a stop does, step by step.
 
-use bergamot_shutdown::ShutdownAction::{Announce, Close, End, Reject};
+use bergamot_shutdown::ShutdownAction::{Announce, CloseListener, Exit, Reject};
 use bergamot_shutdown::ShutdownEvent::{Accepted, ListenerClosed, Released, Signalled, TimePassed};
 use bergamot_shutdown::{PhaseName, ShutdownAction, ShutdownEvent, ShutdownOptions, ShutdownState};
 use bergamot_types::prelude::*;
@@ -26,8 +26,8 @@
         steps: &[
             (0, SIGNAL, &[Announce]),
             (2_599, TimePassed, &[]),
-            (2_600, TimePassed, &[Close]),
-            (2_601, ListenerClosed, &[End { cut: 0 }]),
+            (2_600, TimePassed, &[CloseListener]),
+            (2_601, ListenerClosed, &[Exit { cut: 0 }]),
         ],
         phase: PhaseName::Ended,
     },
@@ -35,11 +35,11 @@
         name: "a caller who waits to be accepted while the listener is closed is served",
         steps: &[
             (0, SIGNAL, &[Announce]),
-            (2_600, TimePassed, &[Close]),
+            (2_600, TimePassed, &[CloseListener]),
             (2_600, Accepted, &[]),
             (2_601, ListenerClosed, &[]),
             (2_700, TimePassed, &[]),
-            (2_750, Released, &[End { cut: 0 }]),
+            (2_750, Released, &[Exit { cut: 0 }]),
         ],
         phase: PhaseName::Ended,
     },
@@ -48,12 +48,12 @@
         steps: &[
             (0, SIGNAL, &[Announce]),
             (10, Accepted, &[]),
-            (2_600, TimePassed, &[Close]),
+            (2_600, TimePassed, &[CloseListener]),
             (2_600, Released, &[]),
             (2_600, Accepted, &[]),
             (2_601, ListenerClosed, &[]),
             (2_650, TimePassed, &[]),
-            (2_660, Released, &[End { cut: 0 }]),
+            (2_660, Released, &[Exit { cut: 0 }]),
         ],
         phase: PhaseName::Ended,
     },
@@ -61,7 +61,7 @@
         name: "without a word from the listener the process goes on",
         steps: &[
             (0, SIGNAL, &[Announce]),
-            (2_600, TimePassed, &[Close]),
+            (2_600, TimePassed, &[CloseListener]),
             (5_000, TimePassed, &[]),
         ],
         phase: PhaseName::Closing,
@@ -70,9 +70,9 @@
         name: "but not past its grace",
         steps: &[
             (0, SIGNAL, &[Announce]),
-            (2_600, TimePassed, &[Close]),
+            (2_600, TimePassed, &[CloseListener]),
             (2_650, Accepted, &[]),
-            (7_500, TimePassed, &[End { cut: 1 }]),
+            (7_500, TimePassed, &[Exit { cut: 1 }]),
         ],
         phase: PhaseName::Ended,
     },
@@ -82,10 +82,10 @@
             (0, Accepted, &[]),
             (0, SIGNAL, &[Announce]),
             (2_000, SIGNAL, &[]),
-            (2_600, SIGNAL, &[Close]),
+            (2_600, SIGNAL, &[CloseListener]),
             (2_601, ListenerClosed, &[]),
             (7_000, SIGNAL, &[]),
-            (7_500, SIGNAL, &[End { cut: 1 }]),
+            (7_500, SIGNAL, &[Exit { cut: 1 }]),
         ],
         phase: PhaseName::Ended,
     },
@@ -94,7 +94,7 @@
         steps: &[
             (0, Accepted, &[]),
             (0, SIGNAL, &[Announce]),
-            (60_000, TimePassed, &[Close, End { cut: 1 }]),
+            (60_000, TimePassed, &[CloseListener, Exit { cut: 1 }]),
         ],
         phase: PhaseName::Ended,
     },
@@ -103,10 +103,10 @@
         steps: &[
             (0, SIGNAL, &[Announce]),
             (0, Accepted, &[]),
-            (2_600, TimePassed, &[Close]),
+            (2_600, TimePassed, &[CloseListener]),
             (2_601, ListenerClosed, &[]),
             (2_602, Accepted, &[Reject]),
-            (2_610, Released, &[End { cut: 0 }]),
+            (2_610, Released, &[Exit { cut: 0 }]),
             (2_611, Accepted, &[Reject]),
         ],
         phase: PhaseName::Ended,
@@ -126,10 +126,10 @@
         steps: &[
             (0, Accepted, &[]),
             (100, SIGNAL, &[Announce]),
-            (2_700, TimePassed, &[Close]),
+            (2_700, TimePassed, &[CloseListener]),
             (2_701, ListenerClosed, &[]),
             (5_000, TimePassed, &[]),
-            (5_100, Released, &[End { cut: 0 }]),
+            (5_100, Released, &[Exit { cut: 0 }]),
         ],
         phase: PhaseName::Ended,
     },
@@ -199,7 +199,7 @@
         for (at, event) in case.steps {
             state.handle(Millis(*at), *event);
         }
-        let end = state.answer_end(Millis(case.at));
+        let end = state.answer_deadline(Millis(case.at));
         assert_eq!(end, case.end.map(Millis), "{}", case.name);
     }
 }
