--- a/crates/quarantine/src/blame.rs
+++ b/crates/quarantine/src/blame.rs
@@ -1,13 +1,15 @@
-//! Which of the requests that upstreams ended under are to blame.
+//! Decides which of the requests in flight at crashed upstreams caused the crashes.
 //!
-//! All streams of an upstream that ends are broken off together, and where few leaders are left some of them go on at the
-//! same next one, beside the request that ends it too. Counted by ends alone, five of six requests in quarantine had only
-//! stood beside a harmful one (8 VMs before 54 upstreams; counted from the logs of a day). What tells them apart is how
-//! far their runs had come: a request that ends its upstreams does so soon after its runs began, while those beside it
-//! were in the middle of theirs.
+//! All streams of a crashed upstream break at the same time. With few leaders left, some of them
+//! resume at the same next leader as the harmful request and break again when it crashes that
+//! leader too. When only crashes were counted, five of six quarantined requests had merely run
+//! beside a harmful one (8 entry VMs and 54 upstreams, counted in one day of logs). Progress tells
+//! the two kinds apart: a harmful request crashes an upstream soon after its run there begins,
+//! while the runs beside it are interrupted midway.
 //!
-//! So requests are taken in the order in which they are likely to be harmful, and each is blamed for all ends of its own
-//! that none before it is blamed for. Two that nothing tells apart are kept apart, so that the next end is that of one.
+//! Candidates are therefore ranked by how likely they are harmful, and each one is blamed for those
+//! of its crashes that no higher-ranked candidate is blamed for. Indistinguishable candidates are
+//! routed to different upstreams, so that the next crash identifies the harmful one.
 
 use std::cmp::Reverse;
 
@@ -16,188 +18,208 @@
 
 use crate::fingerprint::RequestPrint;
 
-/// Upstreams that ended under a request, and how many events had come from its run there.
-pub(crate) type EndedRuns = IndexMap<UpstreamIncarnation, u32>;
-
-/// Upstreams for whose ends a request is to blame before it is refused. One end has other causes as a rule, and a
-/// request has two by chance where few leaders are left.
-const QUARANTINE_ENDS: usize = 3;
-/// The same, before a request is kept apart from others that nothing tells from it.
-pub(crate) const SUSPECT_ENDS: usize = 2;
-/// Upstreams that end under a request before it is refused, whoever else may be to blame for them, unless that one is
-/// refused itself: a request that ends upstreams late in its runs always has others beside it that had come less far.
-/// Such a request has two runs more than one that ends them at once.
-const MOST_ENDS: usize = 5;
-/// Events by which the runs of a request may differ when their upstreams end, so that they count as ended at the same
-/// point. Less comes about by chance: an end is noticed within the time of about two events.
-const POINT_EVENTS: u32 = 3;
-
-/// What became clear about a request.
+/// The upstreams that crashed while they ran a request, with the number of events received from
+/// each run.
+pub(crate) type CrashedRuns = IndexMap<UpstreamIncarnation, u32>;
+
+/// Number of crashes a request must be blamed for before it is rejected. A single crash usually has
+/// another cause, and with few leaders left a harmless request can run at two crashed upstreams by
+/// chance.
+const QUARANTINE_CRASHES: usize = 3;
+/// Number of crashes a request must be blamed for before it is routed apart from requests that
+/// cannot be told from it.
+pub(crate) const SUSPECT_CRASHES: usize = 2;
+/// Number of crashes, without those of quarantined requests, after which a request is rejected
+/// whichever request is blamed for them. Covers a request that crashes upstreams late in its runs:
+/// there are always other requests beside it with less progress. Such a request is rejected two
+/// runs later than one that crashes upstreams at once.
+const UNEXPLAINED_CRASHES: usize = 5;
+/// Runs that end within this many events of each other count as interrupted at the same point.
+/// Smaller differences occur by chance, as a crash is noticed within the time of about two events.
+const SAME_POINT_EVENTS: u32 = 3;
+
+/// The conclusion about a request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Verdict {
-    /// It may be to blame.
+    /// May have caused the crashes.
     Suspected(SuspectPlace),
-    /// It is to blame.
+    /// Caused the crashes.
     Quarantined,
 }
 
-/// Where a suspected request goes.
+/// Where a suspected request is sent.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct SuspectPlace {
-    /// Its number in an order of the upstreams that is the same for all VMs. Requests that nothing tells apart have
-    /// different ones, and whoever sends one of them sends it to the same upstream.
+    /// Position in an order of the upstreams that is the same on all VMs. Indistinguishable
+    /// requests get different numbers, and every VM sends a given request to the same upstream.
     pub number: u64,
-    /// Whether there is no other that it could be instead.
+    /// Whether no other request can have caused the crashes instead.
     pub is_alone: bool,
 }
 
-/// What became clear about requests; nothing about those that are left out.
+/// Verdicts by request. Requests without a verdict are absent.
 pub(crate) type Verdicts = IndexMap<RequestPrint, Verdict>;
 
-/// A request that several upstreams ended under.
+/// A request that was running at several crashed upstreams.
 #[derive(Clone, Copy)]
 struct Candidate<'a> {
     print: RequestPrint,
-    ends: &'a EndedRuns,
-    /// Its ends, less one for each [`POINT_EVENTS`] by which its runs differ.
+    runs: &'a CrashedRuns,
+    /// Number of crashes, reduced by one for each [`SAME_POINT_EVENTS`] by which the progress of the
+    /// runs differs.
     weight: usize,
-    /// Events of the run that had come least far.
-    least: u32,
+    /// Number of events of the run with the least progress.
+    least_progress: u32,
 }
 
 impl<'a> Candidate<'a> {
-    fn new(print: RequestPrint, ends: &'a EndedRuns) -> Self {
-        let least = ends.values().min().copied().unwrap_or_default();
-        let most = ends.values().max().copied().unwrap_or_default();
-        let spread = (most - least) / POINT_EVENTS;
+    fn new(print: RequestPrint, runs: &'a CrashedRuns) -> Self {
+        let least_progress = runs.values().min().copied().unwrap_or_default();
+        let most_progress = runs.values().max().copied().unwrap_or_default();
+        let spread = (most_progress - least_progress) / SAME_POINT_EVENTS;
         Self {
             print,
-            ends,
-            weight: ends.len().saturating_sub(spread as usize),
-            least,
+            runs,
+            weight: runs.len().saturating_sub(spread as usize),
+            least_progress,
         }
     }
 
-    /// The most likely one first; of those with equal weight the one that had come least far.
+    /// Returns the sort key: the heaviest candidate comes first, then the one with the least
+    /// progress.
     fn rank(&self) -> (Reverse<usize>, u32) {
-        (Reverse(self.weight), self.least)
+        (Reverse(self.weight), self.least_progress)
     }
 
-    /// Whether nothing tells it from another, as far as it alone goes.
-    fn is_like(&self, other: &Self) -> bool {
-        self.weight == other.weight && self.least.abs_diff(other.least) < POINT_EVENTS
+    /// Whether this candidate cannot be told from another by weight and progress.
+    fn is_indistinguishable_from(&self, other: &Self) -> bool {
+        self.weight == other.weight
+            && self.least_progress.abs_diff(other.least_progress) < SAME_POINT_EVENTS
     }
 }
 
-/// Finds out which requests are to blame for the ends of upstreams.
-pub(crate) fn judge<'a, Entries>(entries: Entries) -> Verdicts
+/// Decides which requests caused the crashes.
+pub(crate) fn assign_blame<'a, Entries>(entries: Entries) -> Verdicts
 where
-    Entries: Iterator<Item = (RequestPrint, &'a EndedRuns)>,
+    Entries: Iterator<Item = (RequestPrint, &'a CrashedRuns)>,
 {
-    let entries = entries.filter(|(_, ends)| ends.len() >= SUSPECT_ENDS);
+    let entries = entries.filter(|(_, runs)| runs.len() >= SUSPECT_CRASHES);
     let mut candidates: Vec<_> = entries
-        .map(|(print, ends)| Candidate::new(print, ends))
+        .map(|(print, runs)| Candidate::new(print, runs))
         .collect();
     candidates.sort_by_key(|candidate| (candidate.rank(), candidate.print));
-    let mut trial = Trial::new(&candidates);
+    let mut assignment = BlameAssignment::new(&candidates);
     for candidate in &candidates {
-        trial.blame(candidate);
+        assignment.blame(candidate);
     }
-    trial.refuse_most(&candidates);
-    trial.verdicts
+    assignment.quarantine_unexplained(&candidates);
+    assignment.verdicts
 }
 
-/// Candidates in their order, and what has become clear so far.
-struct Trial<'a> {
-    by_incarnation: IndexMap<&'a UpstreamIncarnation, Vec<Candidate<'a>>>,
-    /// Ends that a request is blamed for.
+/// The ranked candidates and the conclusions so far.
+struct BlameAssignment<'a> {
+    candidates_by_crash: IndexMap<&'a UpstreamIncarnation, Vec<Candidate<'a>>>,
+    /// Crashes that a request is blamed for.
     blamed: IndexSet<&'a UpstreamIncarnation>,
-    /// Of these, the ones whose request is in quarantine.
-    convicted: IndexSet<&'a UpstreamIncarnation>,
+    /// Crashes of the requests in quarantine.
+    explained: IndexSet<&'a UpstreamIncarnation>,
     verdicts: Verdicts,
 }
 
-impl<'a> Trial<'a> {
+impl<'a> BlameAssignment<'a> {
     fn new(candidates: &[Candidate<'a>]) -> Self {
-        let mut by_incarnation: IndexMap<&UpstreamIncarnation, Vec<Candidate<'_>>> =
+        let mut candidates_by_crash: IndexMap<&UpstreamIncarnation, Vec<Candidate<'_>>> =
             IndexMap::new();
         for candidate in candidates {
-            for incarnation in candidate.ends.keys() {
-                by_incarnation
+            for incarnation in candidate.runs.keys() {
+                candidates_by_crash
                     .entry(incarnation)
                     .or_default()
                     .push(*candidate);
             }
         }
         Self {
-            by_incarnation,
+            candidates_by_crash,
             blamed: IndexSet::new(),
-            convicted: IndexSet::new(),
+            explained: IndexSet::new(),
             verdicts: Verdicts::new(),
         }
     }
 
-    /// Blames a request for its ends that none before it is blamed for.
+    /// Blames a request for those of its crashes that no higher-ranked request is blamed for.
     fn blame(&mut self, candidate: &Candidate<'a>) {
-        let incarnations = candidate.ends.keys();
-        let own: Vec<_> = incarnations
+        let incarnations = candidate.runs.keys();
+        let unblamed: Vec<_> = incarnations
             .filter(|incarnation| !self.blamed.contains(incarnation))
             .collect();
-        if own.len() < SUSPECT_ENDS {
+        if unblamed.len() < SUSPECT_CRASHES {
             return;
         }
-        let beside = self.like_beside(candidate, &own);
+        let beside = self.count_shared_crashes(candidate, &unblamed);
         let is_alone = beside.is_empty();
         let shared = beside.into_iter();
-        let equals = shared.filter(|(_, count)| *count >= SUSPECT_ENDS);
-        let equals: Vec<RequestPrint> = equals.map(|(print, _)| print).collect();
-        if own.len() >= QUARANTINE_ENDS && equals.is_empty() {
+        let indistinguishable = shared.filter(|(_, count)| *count >= SUSPECT_CRASHES);
+        let indistinguishable: Vec<RequestPrint> =
+            indistinguishable.map(|(print, _)| print).collect();
+        if unblamed.len() >= QUARANTINE_CRASHES && indistinguishable.is_empty() {
             self.verdicts.insert(candidate.print, Verdict::Quarantined);
-            self.convicted.extend(candidate.ends.keys());
+            self.explained.extend(candidate.runs.keys());
         } else {
-            self.keep_apart(candidate.print, equals, is_alone);
+            self.assign_places(candidate.print, indistinguishable, is_alone);
         }
-        self.blamed.extend(own);
+        self.blamed.extend(unblamed);
     }
 
-    /// Requests that are like one which is blamed for the ends `own`, and how many of these they share with it. Those that
-    /// share several are told from it by nothing; one that shares a single end may still be to blame for that.
-    fn like_beside(
+    /// Returns the requests indistinguishable from `candidate`, with the number of crashes in
+    /// `unblamed` that they share with it. A request that shares several cannot be told apart; one
+    /// that shares a single crash may still have caused that one.
+    fn count_shared_crashes(
         &self,
         candidate: &Candidate<'_>,
-        own: &[&UpstreamIncarnation],
+        unblamed: &[&UpstreamIncarnation],
     ) -> IndexMap<RequestPrint, usize> {
         let mut shared: IndexMap<RequestPrint, usize> = IndexMap::new();
-        for incarnation in own {
-            let beside = self.by_incarnation.get(incarnation).into_iter().flatten();
-            let beside = beside.filter(|it| it.print != candidate.print);
-            for equal in beside.filter(|it| it.is_like(candidate)) {
-                *shared.entry(equal.print).or_default() += 1;
+        for incarnation in unblamed {
+            let beside = self
+                .candidates_by_crash
+                .get(incarnation)
+                .into_iter()
+                .flatten();
+            let beside = beside.filter(|other| other.print != candidate.print);
+            for other in beside.filter(|other| other.is_indistinguishable_from(candidate)) {
+                *shared.entry(other.print).or_default() += 1;
             }
         }
         shared
     }
 
-    /// Gives requests that nothing tells apart places of their own.
-    fn keep_apart(&mut self, print: RequestPrint, equals: Vec<RequestPrint>, is_alone: bool) {
-        let mut suspects = equals;
+    /// Marks indistinguishable requests as suspected and assigns them different upstreams.
+    fn assign_places(
+        &mut self,
+        print: RequestPrint,
+        indistinguishable: Vec<RequestPrint>,
+        is_alone: bool,
+    ) {
+        let mut suspects = indistinguishable;
         suspects.push(print);
         suspects.sort_unstable();
-        let first = suspects.first().map_or(0, |print| print.to_hash());
+        let first_hash = suspects.first().map_or(0, |print| print.to_hash());
         for (rank, suspect) in suspects.into_iter().enumerate() {
-            let number = first.wrapping_add(rank as u64);
+            let number = first_hash.wrapping_add(rank as u64);
             let place = SuspectPlace { number, is_alone };
             let verdict = self.verdicts.entry(suspect);
             verdict.or_insert(Verdict::Suspected(place));
         }
     }
 
-    /// Refuses requests under which most upstreams ended that none in quarantine is to blame for.
-    fn refuse_most(&mut self, candidates: &[Candidate<'a>]) {
+    /// Quarantines requests with [`UNEXPLAINED_CRASHES`] or more crashes that no quarantined
+    /// request explains.
+    fn quarantine_unexplained(&mut self, candidates: &[Candidate<'a>]) {
         for candidate in candidates {
-            let incarnations = candidate.ends.keys();
-            let open = incarnations.filter(|incarnation| !self.convicted.contains(incarnation));
-            if open.count() >= MOST_ENDS {
+            let incarnations = candidate.runs.keys();
+            let unexplained =
+                incarnations.filter(|incarnation| !self.explained.contains(incarnation));
+            if unexplained.count() >= UNEXPLAINED_CRASHES {
                 self.verdicts.insert(candidate.print, Verdict::Quarantined);
             }
         }
--- a/crates/quarantine/src/fingerprint.rs
+++ b/crates/quarantine/src/fingerprint.rs
@@ -1,4 +1,5 @@
-//! Which requests are the same one.
+//! Identifies requests by a fingerprint of their content, abbreviated to `print` in records and log
+//! lines.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,19 +8,21 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Bytes of a print.
-const PRINT_BYTES: usize = 16;
+/// Length of a fingerprint in bytes.
+const FINGERPRINT_BYTES: usize = 16;
 
-/// What tells a request from any other, however often it is sent, wherever, and under whatever id: a digest of its
-/// caller, path and body. The same on every VM and in every version.
+/// Digest of a request's account, path and body, which identifies it however often it is sent,
+/// wherever, and under whichever ID. Equal on every VM and in every version.
 ///
-/// The first half of a SHA-256. Each part goes in with its length, so that no part can pass for another one's end, and
-/// the caller is the account that the key led to: no account can find a request with the print of another's.
+/// The first half of a SHA-256. Each part is hashed with its length, so that the parts cannot be
+/// shifted against each other. The account is the one the API key belongs to, so no account can
+/// produce the fingerprint of another account's request.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct RequestPrint([u8; PRINT_BYTES]);
+pub struct RequestPrint([u8; FINGERPRINT_BYTES]);
 
 impl RequestPrint {
-    /// The print of a request. `path` has the query with it. Costs one pass over the body.
+    /// Computes the fingerprint of a request; `path` includes the query. Hashes the whole body
+    /// once.
     pub fn of(account: Option<&ClientAccount>, path: &str, body: &[u8]) -> Self {
         let account = account.map_or("", ClientAccount::as_str);
         let mut digest = Sha256::new();
@@ -27,12 +30,12 @@
             digest.update((part.len() as u64).to_le_bytes());
             digest.update(part);
         }
-        let mut bytes = [0; PRINT_BYTES];
-        bytes.copy_from_slice(&digest.finalize()[..PRINT_BYTES]);
+        let mut bytes = [0; FINGERPRINT_BYTES];
+        bytes.copy_from_slice(&digest.finalize()[..FINGERPRINT_BYTES]);
         Self(bytes)
     }
 
-    /// A number drawn by it, the same on every VM.
+    /// Returns a hash that is equal on every VM.
     pub(crate) fn to_hash(self) -> u64 {
         hash_bytes(&self.0)
     }
@@ -50,17 +53,17 @@
     }
 }
 
-/// A text that is no print.
+/// The text is not a fingerprint.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
-#[error("a print is 32 hexadecimal digits")]
-pub struct PrintError;
+#[error("expected a request fingerprint of 32 hexadecimal digits")]
+pub struct FingerprintError;
 
 impl FromStr for RequestPrint {
-    type Err = PrintError;
+    type Err = FingerprintError;
 
-    fn from_str(text: &str) -> Result<Self, PrintError> {
-        let mut bytes = [0; PRINT_BYTES];
-        hex::decode_to_slice(text, &mut bytes).map_err(|_| PrintError)?;
+    fn from_str(text: &str) -> Result<Self, FingerprintError> {
+        let mut bytes = [0; FINGERPRINT_BYTES];
+        hex::decode_to_slice(text, &mut bytes).map_err(|_| FingerprintError)?;
         Ok(Self(bytes))
     }
 }
--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -1,94 +1,96 @@
-//! How many upstreams ended under a request, and when it is sent no more.
+//! Counts the crashes of each request and decides when it is no longer sent.
 
 use bergamot_types::prelude::*;
 use indexmap::{IndexMap, IndexSet};
 
-use crate::blame::{EndedRuns, SUSPECT_ENDS, SuspectPlace, Verdict, Verdicts, judge};
-use crate::ends::BrokenRun;
+use crate::blame::{CrashedRuns, SUSPECT_CRASHES, SuspectPlace, Verdict, Verdicts, assign_blame};
+use crate::crashes::BrokenRun;
 use crate::fingerprint::RequestPrint;
 
-/// Ends of one request that are kept: enough to show operators which upstreams they were.
-const MAX_ENDS: usize = 16;
-/// Cleared ends of one request that are kept, so that late news of them does not count: those of the last minutes where
-/// an upstream ends every few seconds.
+/// Maximum number of crashes recorded per request: enough to show operators which upstreams
+/// crashed.
+const MAX_CRASHES: usize = 16;
+/// Maximum number of cleared crashes recorded per request, so that late reports of them are
+/// ignored. Covers the last minutes if an upstream crashes every few seconds.
 const MAX_CLEARED: usize = 64;
-/// Requests that are kept at most. Each takes some 500 bytes, so all of them 4 MB of the 160 MB of the smallest VM.
+/// Maximum number of requests. Each takes some 500 bytes, so all of them take 4 MB of the 160 MB of
+/// the smallest VM.
 const MAX_REQUESTS: usize = 8_192;
-/// Time without a further end after which a request that is not in quarantine is forgotten.
-const SUSPECT_TIME: Millis = Millis::from_secs(3_600);
-/// Time without a refusal or an end after which a request leaves quarantine: a caller that sends it once a day has a new
-/// version of the model by then, or ends three more upstreams.
-const QUARANTINE_TIME: Millis = Millis::from_secs(24 * 3_600);
+/// How long a request outside quarantine is remembered after its last crash.
+const SUSPECT_RETENTION: Millis = Millis::from_secs(3_600);
+/// How long a request stays in quarantine after its last rejection or crash. A caller that sends it
+/// once a day has a new version of the model by then, or crashes three more upstreams.
+const QUARANTINE_RETENTION: Millis = Millis::from_secs(24 * 3_600);
 
-/// What may be done with a request.
+/// How a request may be handled.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum RequestStanding {
-    /// It is sent like any other.
+    /// Sent like any other request.
     Good,
-    /// It is sent to a place of its own, so that the next end there is its own. Where there is no other that it could be
-    /// instead, it is sent when its caller sends it, and not repeated by this system: a repeat would end a third group
-    /// for no caller's gain.
+    /// Sent to an upstream of its own, so that the next crash there is attributable to it. If no
+    /// other request can be the cause, it is sent when its caller sends it but never retried by
+    /// this system: a retry would crash a third group without benefit to the caller.
     Suspected(SuspectPlace),
-    /// It is refused.
+    /// Rejected.
     Quarantined,
 }
 
-/// What is known of one request.
+/// History of one request.
 #[derive(Clone, Debug, Default)]
 struct CrashEntry {
-    /// Upstreams that ended under it and that it is not cleared of.
-    ends: EndedRuns,
-    /// Those that a whole answer, or an operator, has cleared it of.
+    /// Crashes that the request is not cleared of.
+    crashes: CrashedRuns,
+    /// Crashes that a complete answer or an operator cleared the request of.
     cleared: IndexSet<UpstreamIncarnation>,
-    /// Whether one of them was seen from this VM.
-    is_own: bool,
-    /// Since when it has been known.
-    since: Millis,
-    /// When an upstream last ended under it.
-    struck_at: Millis,
-    /// When it last mattered.
-    used_at: Millis,
+    /// Whether this VM observed one of the crashes.
+    is_observed: bool,
+    /// When the request was first recorded.
+    recorded_at: Millis,
+    /// Time of the last crash.
+    last_crash_at: Millis,
+    /// Time of the last crash or rejection.
+    last_active_at: Millis,
 }
 
-/// A request in quarantine, for operators.
+/// A quarantined request, as shown to operators.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct QuarantinedRequest {
-    /// Which.
+    /// The request.
     pub print: RequestPrint,
-    /// The upstreams that ended under it.
-    pub ends: Vec<UpstreamIncarnation>,
-    /// Since when this VM has known of it.
-    pub since: Millis,
-    /// When an upstream last ended under it, as far as this VM knows.
-    pub struck_at: Millis,
-    /// When it last came, as far as this VM knows.
-    pub used_at: Millis,
+    /// The upstreams that crashed.
+    pub crashes: Vec<UpstreamIncarnation>,
+    /// When this VM first recorded the request.
+    pub recorded_at: Millis,
+    /// Time of the last crash known to this VM.
+    pub last_crash_at: Millis,
+    /// Time of the last crash or rejection known to this VM.
+    pub last_active_at: Millis,
 }
 
-/// Requests under which upstreams ended.
+/// The requests that were running at crashed upstreams.
 ///
-/// Ends and what clears a request of them are sets that only grow, so it does not matter how often or in which order
-/// VMs hear of them.
+/// Crashes and clearances are grow-only sets, so the order and number of reports from other VMs
+/// does not matter.
 #[derive(Clone, Debug, Default)]
 pub struct CrashLedger {
     entries: IndexMap<RequestPrint, CrashEntry>,
     verdicts: Verdicts,
-    /// Whether ends have changed since the verdicts were worked out.
+    /// Whether crashes have changed since the verdicts were computed.
     is_changed: bool,
 }
 
 impl CrashLedger {
-    /// Whether no upstream has ended under any request: no print needs to be worked out then.
+    /// Whether no crash is recorded, in which case no fingerprint needs to be computed.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Requests that are known.
+    /// Returns the number of recorded requests.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// What may be done with a request.
+    /// Returns how a request may be handled.
     pub fn standing(&mut self, print: RequestPrint) -> RequestStanding {
         match self.verdict(print) {
             None => RequestStanding::Good,
@@ -98,68 +100,77 @@
     }
 
     fn verdict(&mut self, print: RequestPrint) -> Option<Verdict> {
-        // Few requests are known, and hardly one of these has several ends.
-        if self.open_ends(print) < SUSPECT_ENDS {
+        // Few requests are recorded, and hardly any of them has several crashes.
+        if self.open_crashes(print) < SUSPECT_CRASHES {
             return None;
         }
-        self.judge();
+        self.update_verdicts();
         self.verdicts.get(&print).copied()
     }
 
-    /// Works out what the ends say, if they have changed.
-    fn judge(&mut self) {
+    /// Recomputes the verdicts if the crashes have changed.
+    fn update_verdicts(&mut self) {
         if std::mem::take(&mut self.is_changed) {
             let entries = self.entries.iter();
-            self.verdicts = judge(entries.map(|(print, entry)| (*print, &entry.ends)));
+            self.verdicts = assign_blame(entries.map(|(print, entry)| (*print, &entry.crashes)));
         }
     }
 
-    /// Upstreams that ended under a request and that it is not cleared of.
-    pub fn open_ends(&self, print: RequestPrint) -> usize {
-        self.entries.get(&print).map_or(0, |entry| entry.ends.len())
+    /// Returns the number of crashes that a request is not cleared of.
+    pub fn open_crashes(&self, print: RequestPrint) -> usize {
+        self.entries
+            .get(&print)
+            .map_or(0, |entry| entry.crashes.len())
     }
 
-    /// Notes that a request was refused as one in quarantine.
-    pub fn note_refused(&mut self, now: Millis, print: RequestPrint) {
+    /// Records that a quarantined request was rejected.
+    pub fn record_rejection(&mut self, now: Millis, print: RequestPrint) {
         if let Some(entry) = self.entries.get_mut(&print) {
-            entry.used_at = now;
+            entry.last_active_at = now;
         }
     }
 
-    /// Notes that an upstream ended under a run of a request. Of several runs there the one counts that had come least
-    /// far.
-    pub fn note_end(&mut self, now: Millis, incarnation: &UpstreamIncarnation, run: BrokenRun) {
+    /// Records that an upstream crashed during a run of a request. If the request had several runs
+    /// there, the one with the least progress counts.
+    pub fn record_crash(&mut self, now: Millis, incarnation: &UpstreamIncarnation, run: BrokenRun) {
         let entry = self.entry(now, run.print);
         if entry.cleared.contains(incarnation) {
             return;
         }
-        if let Some(events) = entry.ends.get_mut(incarnation) {
-            let is_less = run.events < *events;
-            *events = run.events.min(*events);
-            self.is_changed |= is_less;
+        if let Some(known_events) = entry.crashes.get_mut(incarnation) {
+            let has_less_progress = run.events < *known_events;
+            *known_events = run.events.min(*known_events);
+            self.is_changed |= has_less_progress;
             return;
         }
-        if entry.ends.len() >= MAX_ENDS {
+        if entry.crashes.len() >= MAX_CRASHES {
             return;
         }
-        entry.ends.insert(incarnation.clone(), run.events);
-        entry.struck_at = now;
-        entry.used_at = now;
+        entry.crashes.insert(incarnation.clone(), run.events);
+        entry.last_crash_at = now;
+        entry.last_active_at = now;
         self.is_changed = true;
     }
 
-    /// Notes that it was seen from this VM that an upstream ended under a run of a request.
-    pub fn note_own(&mut self, now: Millis, incarnation: &UpstreamIncarnation, run: BrokenRun) {
-        self.note_end(now, incarnation, run);
-        self.entry(now, run.print).is_own = true;
+    /// Records a crash that this VM observed itself.
+    pub fn record_observed_crash(
+        &mut self,
+        now: Millis,
+        incarnation: &UpstreamIncarnation,
+        run: BrokenRun,
+    ) {
+        self.record_crash(now, incarnation, run);
+        self.entry(now, run.print).is_observed = true;
     }
 
-    /// Whether an end of an upstream under a request was seen from this VM.
-    pub fn is_own(&self, print: RequestPrint) -> bool {
-        self.entries.get(&print).is_some_and(|entry| entry.is_own)
+    /// Whether this VM observed a crash of the request itself.
+    pub fn is_observed(&self, print: RequestPrint) -> bool {
+        self.entries
+            .get(&print)
+            .is_some_and(|entry| entry.is_observed)
     }
 
-    /// Clears a request of the ends of these upstreams, also of those that are heard of later.
+    /// Clears a request of crashes, including those reported later.
     pub fn clear<Incarnations>(
         &mut self,
         now: Millis,
@@ -170,7 +181,7 @@
     {
         let entry = self.entry(now, print);
         for incarnation in incarnations {
-            entry.ends.shift_remove(&incarnation);
+            entry.crashes.shift_remove(&incarnation);
             entry.cleared.insert(incarnation);
         }
         while entry.cleared.len() > MAX_CLEARED {
@@ -179,70 +190,71 @@
         self.is_changed = true;
     }
 
-    /// The upstreams that ended under a request and that it is not cleared of.
-    pub fn ends(&self, print: RequestPrint) -> Vec<UpstreamIncarnation> {
+    /// Returns the upstreams whose crashes a request is not cleared of.
+    pub fn crashed_upstreams(&self, print: RequestPrint) -> Vec<UpstreamIncarnation> {
         let entry = self.entries.get(&print);
-        let ends = entry.into_iter().flat_map(|entry| entry.ends.keys());
-        ends.cloned().collect()
+        let crashes = entry.into_iter().flat_map(|entry| entry.crashes.keys());
+        crashes.cloned().collect()
     }
 
-    /// Requests in quarantine.
+    /// Returns the quarantined requests.
     pub fn quarantined(&mut self) -> Vec<QuarantinedRequest> {
-        self.judge();
+        self.update_verdicts();
         let verdicts = self.verdicts.iter();
-        let held = verdicts.filter(|(_, verdict)| **verdict == Verdict::Quarantined);
-        let entries = held.filter_map(|(print, _)| Some((print, self.entries.get(print)?)));
+        let quarantined = verdicts.filter(|(_, verdict)| **verdict == Verdict::Quarantined);
+        let entries = quarantined.filter_map(|(print, _)| Some((print, self.entries.get(print)?)));
         entries
             .map(|(print, entry)| QuarantinedRequest {
                 print: *print,
-                ends: entry.ends.keys().cloned().collect(),
-                since: entry.since,
-                struck_at: entry.struck_at,
-                used_at: entry.used_at,
+                crashes: entry.crashes.keys().cloned().collect(),
+                recorded_at: entry.recorded_at,
+                last_crash_at: entry.last_crash_at,
+                last_active_at: entry.last_active_at,
             })
             .collect()
     }
 
-    /// Forgets what has not mattered for long.
+    /// Drops requests whose last crash or rejection was long ago.
     pub fn expire(&mut self, now: Millis) {
-        self.judge();
-        let known = self.entries.len();
+        self.update_verdicts();
+        let count_before = self.entries.len();
         let verdicts = &self.verdicts;
         self.entries.retain(|print, entry| {
-            let time = match verdicts.get(print) {
-                Some(Verdict::Quarantined) => QUARANTINE_TIME,
-                Some(Verdict::Suspected(_)) | None => SUSPECT_TIME,
+            let retention = match verdicts.get(print) {
+                Some(Verdict::Quarantined) => QUARANTINE_RETENTION,
+                Some(Verdict::Suspected(_)) | None => SUSPECT_RETENTION,
             };
-            now.since(entry.used_at) < time
+            now.since(entry.last_active_at) < retention
         });
-        self.is_changed |= self.entries.len() < known;
+        self.is_changed |= self.entries.len() < count_before;
     }
 
     fn entry(&mut self, now: Millis, print: RequestPrint) -> &mut CrashEntry {
         if self.entries.len() >= MAX_REQUESTS && !self.entries.contains_key(&print) {
-            self.make_room(now);
+            self.evict_requests(now);
         }
         self.entries.entry(print).or_insert_with(|| CrashEntry {
-            since: now,
-            used_at: now,
+            recorded_at: now,
+            last_active_at: now,
             ..CrashEntry::default()
         })
     }
 
-    /// Drops a part of what matters least: requests with the fewest ends, and of these the ones that mattered last
-    /// longest ago. A flood of requests under which one upstream ended throws out none in quarantine.
-    fn make_room(&mut self, now: Millis) {
+    /// Evicts a quarter of the requests: those outside quarantine with the fewest crashes first,
+    /// and among equals the least recently active. A flood of requests with one crash each evicts
+    /// no quarantined request.
+    fn evict_requests(&mut self, now: Millis) {
         self.expire(now);
         if self.entries.len() < MAX_REQUESTS {
             return;
         }
         let verdicts = &self.verdicts;
         let rank = |print: &RequestPrint, entry: &CrashEntry| {
-            let is_held = verdicts.get(print) == Some(&Verdict::Quarantined);
-            (is_held, entry.ends.len(), entry.used_at)
+            let is_quarantined = verdicts.get(print) == Some(&Verdict::Quarantined);
+            (is_quarantined, entry.crashes.len(), entry.last_active_at)
         };
         self.entries
-            .sort_by(|a, of_a, b, of_b| rank(b, of_b).cmp(&rank(a, of_a)));
+            .sort_by(|a, entry_a, b, entry_b| rank(b, entry_b).cmp(&rank(a, entry_a)));
         self.entries.truncate(MAX_REQUESTS * 3 / 4);
         self.is_changed = true;
     }
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,35 +1,37 @@
-//! Requests under which upstreams end: a request may end each upstream that runs it, and comes again at any entry VM.
+//! Detects and quarantines requests that crash upstreams. Such a request can crash every upstream
+//! that runs it, and its caller may send it again to any entry VM.
 //!
-//! | module | what it knows |
+//! | module | responsibility |
 //! | --- | --- |
-//! | [`fingerprint`] | which requests are the same one |
-//! | [`ends`] | which upstreams ended under which requests, and by what evidence |
-//! | `blame` | which of the requests that an upstream ended under is to blame |
-//! | [`ledger`] | how many upstreams ended under a request, and when it is sent no more |
-//! | [`record`] | what entry VMs keep for each other in the store |
-//! | [`kept`] | which of these records are too old or too many |
-//! | [`state`] | all of it for one VM |
+//! | [`fingerprint`] | identifies requests by their content |
+//! | [`crashes`] | which upstreams crashed while running which requests, and by what evidence |
+//! | `blame` | which of the requests at a crashed upstream caused the crash |
+//! | [`ledger`] | the crashes of each request, and when it is no longer sent |
+//! | [`record`] | the records that entry VMs exchange through the store |
+//! | [`housekeeping`] | which of these records are expired or surplus |
+//! | [`state`] | the state of one VM, which combines the above |
 //!
-//! Everything is joined as sets: news that comes twice, late or in another order leads to the same sets. What one VM
-//! sees goes to the others twice. A datagram is there within milliseconds, as a harmful request comes to several VMs at
-//! once. A record in the store also reaches failure domains that are cut off from each other, and VMs that start later.
+//! State is merged as sets, so that duplicate, late and reordered reports lead to the same result.
+//! Each VM shares its observations twice. A datagram arrives within milliseconds, as a harmful
+//! request comes to several VMs at once. A record in the store also reaches failure domains that
+//! are partitioned from each other, and VMs that start later.
 //!
-//! Decisions only: no sockets and no clock.
+//! The crate only makes decisions: it uses no sockets and no clock.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
 mod blame;
-pub mod ends;
+pub mod crashes;
 pub mod fingerprint;
-pub mod kept;
+pub mod housekeeping;
 pub mod ledger;
 pub mod record;
 pub mod state;
 
 pub use blame::SuspectPlace;
-pub use ends::{BreakCause, BreakOutcome, BrokenRun, CrashEvidence, EndWatch};
+pub use crashes::{BreakCause, BreakOutcome, BrokenRun, CrashEvidence, CrashWatch};
 pub use fingerprint::RequestPrint;
-pub use kept::KeptRecords;
+pub use housekeeping::StoreRecords;
 pub use ledger::{CrashLedger, RequestStanding};
 pub use record::{QuarantineRecord, RecordError};
 pub use state::{QuarantineAction, QuarantineEvent, QuarantineState};
--- a/crates/quarantine/src/record.rs
+++ b/crates/quarantine/src/record.rs
@@ -1,66 +1,68 @@
-//! What entry VMs keep for each other in the store.
+//! The records that entry VMs exchange through the store.
 
 use bergamot_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
-use crate::ends::BrokenRun;
+use crate::crashes::BrokenRun;
 use crate::fingerprint::RequestPrint;
 
-/// A record, each under a key of its own that is written once.
+/// A record in the store, under a key of its own that is written once.
 ///
-/// Later versions add kinds at the end. A VM leaves out a record that it cannot read.
+/// Later versions append variants. A VM skips records that it cannot decode.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum QuarantineRecord {
-    /// An upstream ended under these requests. Not written any more: it does not say how far their runs had come.
+    /// An upstream crashed while it ran these requests. No longer written, as it lacks the progress
+    /// of the runs.
     CrashWithoutProgress {
         /// The upstream.
         incarnation: UpstreamIncarnation,
-        /// What one VM had in flight there.
+        /// The requests one VM had in flight there.
         prints: Vec<RequestPrint>,
     },
-    /// A request is cleared of the ends of these upstreams: it was answered whole, or an operator lets it go.
+    /// A request is cleared of the crashes of these upstreams, by a complete answer or by an
+    /// operator.
     Cleared {
         /// The request.
         print: RequestPrint,
         /// The upstreams.
         incarnations: Vec<UpstreamIncarnation>,
     },
-    /// A request is in quarantine. Kept longer than the ends that led to it.
+    /// A request is in quarantine. Stored longer than the crashes that led to it.
     Quarantined {
         /// The request.
         print: RequestPrint,
-        /// The upstreams that ended under it.
+        /// The upstreams that crashed.
         incarnations: Vec<UpstreamIncarnation>,
-        /// When it began by the writer's time of day. For people: nothing goes by it.
+        /// When the quarantine began, by the writer's wall clock. Informational only.
         since: UnixMillis,
     },
-    /// An upstream ended under these runs of requests.
+    /// An upstream crashed during these runs.
     Crash {
         /// The upstream.
         incarnation: UpstreamIncarnation,
-        /// What one VM had in flight there.
+        /// The runs one VM had in flight there.
         runs: Vec<BrokenRun>,
     },
 }
 
-/// Why a record cannot be written or read.
+/// A record cannot be encoded or decoded.
 #[derive(Clone, PartialEq, Eq, Debug, thiserror::Error)]
 #[error("no record of this version: {0}")]
 pub struct RecordError(#[from] postcard::Error);
 
 impl QuarantineRecord {
-    /// The record as it is kept.
+    /// Encodes the record for the store.
     ///
     /// # Errors
-    /// When it cannot be written.
+    /// If the encoding fails.
     pub fn to_bytes(&self) -> Result<Vec<u8>, RecordError> {
         Ok(postcard::to_stdvec(self)?)
     }
 
-    /// Reads a record.
+    /// Decodes a record.
     ///
     /// # Errors
-    /// When it is of a later version, or of another writer.
+    /// If the record is of a later version or was not written by an entry VM.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, RecordError> {
         Ok(postcard::from_bytes(bytes)?)
     }
--- a/crates/quarantine/src/state.rs
+++ b/crates/quarantine/src/state.rs
@@ -1,223 +1,225 @@
-//! What one VM knows, what it does about it, and what it tells the others.
+//! State of one entry VM: the crashes it knows of, and what it does and reports about them.
 
 use bergamot_types::prelude::*;
 use indexmap::IndexSet;
 
-use crate::ends::{BreakCause, BreakOutcome, BrokenRun, CrashEvidence, EndWatch};
+use crate::crashes::{BreakCause, BreakOutcome, BrokenRun, CrashEvidence, CrashWatch};
 use crate::fingerprint::RequestPrint;
-use crate::kept::KeptRecords;
+use crate::housekeeping::StoreRecords;
 use crate::ledger::{CrashLedger, QuarantinedRequest, RequestStanding};
 use crate::record::QuarantineRecord;
 
-/// Changes that are made to the store at once: what one of its transactions holds.
-const MAX_CHANGES: usize = 32;
-/// Time after the last end of a request in quarantine before that is kept for VMs that start later: what all VMs saw of
-/// that end is known by then, and may blame another request for it.
-const KEEP_DELAY: Millis = Millis(1_000);
+/// Maximum number of changes per store update, which is what one transaction of the store holds.
+const MAX_STORE_CHANGES: usize = 32;
+/// Delay between the last crash of a quarantined request and the record of its quarantine for VMs
+/// that start later. By then all VMs' observations of that crash have arrived, and they may blame
+/// another request for it.
+const RECORD_DELAY: Millis = Millis(1_000);
 
-/// Something that happened.
+/// An input of [`QuarantineState`].
 #[derive(Clone, Copy, Debug)]
 pub enum QuarantineEvent<'a> {
-    /// A request was broken off at an upstream that had not said that it was leaving.
+    /// A request was interrupted at an upstream that had not announced that it leaves.
     Broken {
         /// The upstream.
         incarnation: &'a UpstreamIncarnation,
-        /// The request, and how far it had come there.
+        /// The request and its progress there.
         run: BrokenRun,
-        /// How.
+        /// How it was interrupted.
         cause: BreakCause,
     },
-    /// An upstream says that it leaves.
+    /// An upstream announced that it leaves.
     Leaving(&'a UpstreamIncarnation),
-    /// Something shows that an upstream has ended.
+    /// There is evidence that an upstream crashed.
     Crashed {
         /// The upstream.
         incarnation: &'a UpstreamIncarnation,
-        /// What shows it.
+        /// The evidence.
         evidence: CrashEvidence,
     },
-    /// An end was looked at once more, long after it.
+    /// A crash was reviewed some time after it.
     Reviewed {
         /// The upstream.
         incarnation: &'a UpstreamIncarnation,
-        /// Whether the directory still names this run of it, so that it has not ended.
+        /// Whether the directory still lists this incarnation, so that it did not crash.
         is_listed: bool,
     },
-    /// One upstream alone answered a request whole.
+    /// A single upstream answered a request completely.
     Answered(RequestPrint),
-    /// A record is in the store.
+    /// The store holds a record.
     Stored {
-        /// Its key.
+        /// The key of the record.
         key: &'a str,
-        /// What it says.
+        /// The record.
         record: &'a QuarantineRecord,
     },
-    /// Another VM told what it saw. The store will have it too.
+    /// Another VM reported a record, which will also be written to the store.
     Reported(&'a QuarantineRecord),
-    /// A record is not in the store any more.
+    /// The record with this key was removed from the store.
     Removed(&'a str),
-    /// Some time has passed.
+    /// A housekeeping period has passed.
     Housekeeping {
-        /// The time of day, where it is this VM's duty to keep the records in the store in order; for people who read
-        /// them.
+        /// The wall-clock time, if this VM coordinates and so maintains the records in the store.
+        /// Written to records for people to read.
         coordinator_clock: Option<UnixMillis>,
     },
 }
 
-/// What is to be done.
+/// An action for the caller to take.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum QuarantineAction {
-    /// Find out whether anything listens at this upstream.
+    /// Check whether anything listens at this upstream.
     Probe(UpstreamIncarnation),
-    /// Log and count that this upstream ended.
+    /// Log and count the crash of an upstream.
     LogCrash {
         /// The upstream.
         incarnation: UpstreamIncarnation,
-        /// What shows it.
+        /// The evidence.
         evidence: CrashEvidence,
     },
-    /// Log that a request has one more end against it.
+    /// Log that another crash is attributed to a request.
     LogStrike {
-        /// The request, and how far it had come there.
+        /// The request and its progress there.
         run: BrokenRun,
-        /// The upstream that ended.
+        /// The crashed upstream.
         incarnation: UpstreamIncarnation,
-        /// The ends under it, whoever is to blame for them.
+        /// The number of crashes of the request, whichever request is blamed for them.
         crash_count: usize,
     },
-    /// Keep a record for the other VMs.
+    /// Share a record with the other VMs.
     Share(QuarantineRecord),
-    /// Remove records, by their keys.
+    /// Remove the records with these keys.
     Remove(Vec<String>),
 }
 
-/// What one VM knows of requests under which upstreams end.
+/// What one VM knows of requests that were running at crashed upstreams.
 #[derive(Clone, Debug, Default)]
 pub struct QuarantineState {
-    ends: EndWatch,
+    crash_watch: CrashWatch,
     ledger: CrashLedger,
-    kept: KeptRecords,
+    store_records: StoreRecords,
 }
 
 impl QuarantineState {
-    /// Takes in what happened and says what to do.
+    /// Handles an event and returns the actions to take.
     pub fn handle(&mut self, now: Millis, event: QuarantineEvent<'_>) -> Vec<QuarantineAction> {
         match event {
             QuarantineEvent::Broken {
                 incarnation,
                 run,
                 cause,
-            } => self.note_break(now, incarnation, run, cause),
+            } => self.record_break(now, incarnation, run, cause),
             QuarantineEvent::Leaving(incarnation) => {
-                self.ends.forget(incarnation);
+                self.crash_watch.forget(incarnation);
                 Vec::new()
             }
             QuarantineEvent::Crashed {
                 incarnation,
                 evidence,
-            } => self.note_end(now, incarnation, evidence),
+            } => self.record_crash(now, incarnation, evidence),
             QuarantineEvent::Reviewed {
                 incarnation,
                 is_listed,
             } => self.review(now, incarnation, is_listed),
             QuarantineEvent::Answered(print) => self.clear(now, print),
             QuarantineEvent::Stored { key, record } => {
-                self.kept.note(now, key, record);
-                self.join(now, record);
+                self.store_records.insert(now, key, record);
+                self.merge(now, record);
                 Vec::new()
             }
             QuarantineEvent::Reported(record) => {
-                self.join(now, record);
+                self.merge(now, record);
                 Vec::new()
             }
             QuarantineEvent::Removed(key) => {
-                self.kept.forget(key);
+                self.store_records.forget(key);
                 Vec::new()
             }
             QuarantineEvent::Housekeeping { coordinator_clock } => {
                 self.ledger.expire(now);
-                let held = self.ledger.quarantined();
-                let mut actions = self.renew(now, &held);
-                if let Some(today) = coordinator_clock {
-                    actions.extend(self.keep_house(now, today, held));
+                let quarantined = self.ledger.quarantined();
+                let mut actions = self.renew(now, &quarantined);
+                if let Some(wall_clock) = coordinator_clock {
+                    actions.extend(self.maintain_store(now, wall_clock, quarantined));
                 }
                 actions
             }
         }
     }
 
-    /// Whether nothing is held against any request.
+    /// Whether no crash is attributed to any request.
     pub fn is_empty(&self) -> bool {
         self.ledger.is_empty()
     }
 
-    /// What may be done with a request.
+    /// Returns how a request may be handled.
     pub fn standing(&mut self, print: RequestPrint) -> RequestStanding {
         self.ledger.standing(print)
     }
 
-    /// Whether one more end would change what may be done with a request, so that it is to be known before it is
-    /// repeated.
+    /// Whether the request already has a crash, so that another one would change how it may be
+    /// handled. A break must then be resolved before a retry.
     pub fn has_open_crash(&self, print: RequestPrint) -> bool {
-        self.ledger.open_ends(print) > 0
+        self.ledger.open_crashes(print) > 0
     }
 
-    /// Notes that a request was refused as one in quarantine.
+    /// Records that a quarantined request was rejected.
     pub fn record_rejection(&mut self, now: Millis, print: RequestPrint) {
-        self.ledger.note_refused(now, print);
+        self.ledger.record_rejection(now, print);
     }
 
-    /// Whether it is to be found out of an upstream whether it ended.
+    /// Whether requests were interrupted at an upstream that may have crashed.
     pub fn may_have_crashed(&self, incarnation: &UpstreamIncarnation) -> bool {
-        self.ends.is_awaited(incarnation)
+        self.crash_watch.may_have_crashed(incarnation)
     }
 
-    /// Upstreams of which it is to be found out whether they ended.
+    /// Returns the upstreams at which requests were interrupted and that may have crashed.
     pub fn pending_upstreams(&self) -> IndexSet<UpstreamIncarnation> {
-        self.ends.awaited()
+        self.crash_watch.pending_upstreams()
     }
 
-    /// Whether it was seen from this VM that an upstream has ended under a request.
+    /// Whether this VM observed that the upstream crashed while it ran a request.
     pub fn has_crashed(&self, incarnation: &UpstreamIncarnation) -> bool {
-        self.ends.has_ended(incarnation)
+        self.crash_watch.has_crashed(incarnation)
     }
 
-    /// Ends that are to be looked at once more, where the directory has been up to date since `fresh_since`.
+    /// Returns the crashes due for review, given that the directory has been up to date since
+    /// `fresh_since`.
     pub fn due_for_review(&self, now: Millis, fresh_since: Millis) -> Vec<UpstreamIncarnation> {
-        self.ends.to_review(now, fresh_since)
+        self.crash_watch.due_for_review(now, fresh_since)
     }
 
-    /// Requests in quarantine.
+    /// Returns the quarantined requests.
     pub fn quarantined(&mut self) -> Vec<QuarantinedRequest> {
         self.ledger.quarantined()
     }
 
-    /// Requests under which upstreams ended, in quarantine or not.
+    /// Returns the number of recorded requests, in quarantine or not.
     pub fn request_count(&self) -> usize {
         self.ledger.len()
     }
 
-    fn note_break(
+    fn record_break(
         &mut self,
         now: Millis,
         incarnation: &UpstreamIncarnation,
         run: BrokenRun,
         cause: BreakCause,
     ) -> Vec<QuarantineAction> {
-        match self.ends.note_break(now, incarnation, run, cause) {
-            BreakOutcome::Ended => self.strike(now, incarnation, &[run]),
+        match self.crash_watch.record_break(now, incarnation, run, cause) {
+            BreakOutcome::Crashed => self.record_strikes(now, incarnation, &[run]),
             BreakOutcome::Probe => vec![QuarantineAction::Probe(incarnation.clone())],
-            BreakOutcome::Awaited => Vec::new(),
+            BreakOutcome::Pending => Vec::new(),
         }
     }
 
-    fn note_end(
+    fn record_crash(
         &mut self,
         now: Millis,
         incarnation: &UpstreamIncarnation,
         evidence: CrashEvidence,
     ) -> Vec<QuarantineAction> {
-        let Some(runs) = self.ends.note_end(now, incarnation, evidence) else {
+        let Some(runs) = self.crash_watch.record_crash(now, incarnation, evidence) else {
             return Vec::new();
         };
         let incarnation = incarnation.clone();
@@ -225,11 +227,11 @@
             incarnation: incarnation.clone(),
             evidence,
         }];
-        actions.extend(self.strike(now, &incarnation, &runs));
+        actions.extend(self.record_strikes(now, &incarnation, &runs));
         actions
     }
 
-    fn strike(
+    fn record_strikes(
         &mut self,
         now: Millis,
         incarnation: &UpstreamIncarnation,
@@ -240,24 +242,24 @@
             runs: runs.to_vec(),
         })];
         for run in runs {
-            self.ledger.note_own(now, incarnation, *run);
+            self.ledger.record_observed_crash(now, incarnation, *run);
             actions.push(QuarantineAction::LogStrike {
                 run: *run,
                 incarnation: incarnation.clone(),
-                crash_count: self.ledger.open_ends(run.print),
+                crash_count: self.ledger.open_crashes(run.print),
             });
         }
         actions
     }
 
-    /// Takes an end back that was none.
+    /// Withdraws a crash that did not happen.
     fn review(
         &mut self,
         now: Millis,
         incarnation: &UpstreamIncarnation,
         is_listed: bool,
     ) -> Vec<QuarantineAction> {
-        let prints = self.ends.take_reviewed(incarnation);
+        let prints = self.crash_watch.take_reviewed(incarnation);
         if !is_listed {
             return Vec::new();
         }
@@ -272,17 +274,18 @@
         records.collect()
     }
 
-    /// Clears a request of all ends that are known. Of one end only the VM tells the others that has told them of the
-    /// end: a request that every VM answers many times a second would be told of by each.
+    /// Clears a request of all known crashes. The clearance is reported only by a VM that observed
+    /// one of the crashes, or while the request is suspected or quarantined. Otherwise every VM
+    /// would report a request that all of them answer many times a second.
     fn clear(&mut self, now: Millis, print: RequestPrint) -> Vec<QuarantineAction> {
-        let incarnations = self.ledger.ends(print);
+        let incarnations = self.ledger.crashed_upstreams(print);
         if incarnations.is_empty() {
             return Vec::new();
         }
-        let is_told =
-            self.ledger.is_own(print) || self.ledger.standing(print) != RequestStanding::Good;
+        let must_report =
+            self.ledger.is_observed(print) || self.ledger.standing(print) != RequestStanding::Good;
         self.ledger.clear(now, print, incarnations.iter().cloned());
-        match is_told {
+        match must_report {
             true => vec![QuarantineAction::Share(QuarantineRecord::Cleared {
                 print,
                 incarnations,
@@ -291,19 +294,20 @@
         }
     }
 
-    fn join(&mut self, now: Millis, record: &QuarantineRecord) {
+    fn merge(&mut self, now: Millis, record: &QuarantineRecord) {
         match record {
             QuarantineRecord::CrashWithoutProgress {
                 incarnation,
                 prints,
             } => {
                 for print in prints {
-                    self.ledger.note_end(now, incarnation, whole_blame(*print));
+                    self.ledger
+                        .record_crash(now, incarnation, run_without_progress(*print));
                 }
             }
             QuarantineRecord::Crash { incarnation, runs } => {
                 for run in runs {
-                    self.ledger.note_end(now, incarnation, *run);
+                    self.ledger.record_crash(now, incarnation, *run);
                 }
             }
             QuarantineRecord::Cleared {
@@ -318,56 +322,61 @@
                 ..
             } => {
                 for incarnation in incarnations {
-                    self.ledger.note_end(now, incarnation, whole_blame(*print));
+                    self.ledger
+                        .record_crash(now, incarnation, run_without_progress(*print));
                 }
-                // Written once more, it says that the request has come to the VM that writes it.
-                self.ledger.note_refused(now, *print);
+                // A renewed record means that the request has come to the VM that writes it.
+                self.ledger.record_rejection(now, *print);
             }
         }
     }
 
-    /// Tells the others of requests in quarantine that came here.
-    fn renew(&mut self, now: Millis, held: &[QuarantinedRequest]) -> Vec<QuarantineAction> {
-        let renewed = held
+    /// Renews the records of quarantined requests that came to this VM.
+    fn renew(&mut self, now: Millis, quarantined: &[QuarantinedRequest]) -> Vec<QuarantineAction> {
+        let renewals = quarantined
             .iter()
-            .filter_map(|request| self.kept.renew(now, request));
-        renewed
-            .take(MAX_CHANGES)
+            .filter_map(|request| self.store_records.renew(now, request));
+        renewals
+            .take(MAX_STORE_CHANGES)
             .map(QuarantineAction::Share)
             .collect()
     }
 
-    fn keep_house(
+    fn maintain_store(
         &mut self,
         now: Millis,
-        today: UnixMillis,
-        held: Vec<QuarantinedRequest>,
+        wall_clock: UnixMillis,
+        quarantined: Vec<QuarantinedRequest>,
     ) -> Vec<QuarantineAction> {
-        let prints: IndexSet<RequestPrint> = held.iter().map(|request| request.print).collect();
-        let unkept = held.into_iter().filter(|request| {
-            let is_settled = now.since(request.struck_at) >= KEEP_DELAY;
-            is_settled && !self.kept.has_quarantine(request.print)
+        let prints: IndexSet<RequestPrint> =
+            quarantined.iter().map(|request| request.print).collect();
+        let unrecorded = quarantined.into_iter().filter(|request| {
+            let is_settled = now.since(request.last_crash_at) >= RECORD_DELAY;
+            is_settled && !self.store_records.has_quarantine(request.print)
         });
-        let mut actions: Vec<QuarantineAction> = unkept
-            .take(MAX_CHANGES)
+        let mut actions: Vec<QuarantineAction> = unrecorded
+            .take(MAX_STORE_CHANGES)
             .map(|request| {
                 QuarantineAction::Share(QuarantineRecord::Quarantined {
                     print: request.print,
-                    incarnations: request.ends,
-                    since: today,
+                    incarnations: request.crashes,
+                    since: wall_clock,
                 })
             })
             .collect();
-        let is_held = |print| prints.contains(&print);
-        let overdue = self.kept.overdue(now, is_held, MAX_CHANGES);
-        if !overdue.is_empty() {
-            actions.push(QuarantineAction::Remove(overdue));
+        let is_quarantined = |print| prints.contains(&print);
+        let removable = self
+            .store_records
+            .removable_keys(now, is_quarantined, MAX_STORE_CHANGES);
+        if !removable.is_empty() {
+            actions.push(QuarantineAction::Remove(removable));
         }
         actions
     }
 }
 
-/// A run of which nobody says how far it had come, such as one that led to quarantine: not far.
-const fn whole_blame(print: RequestPrint) -> BrokenRun {
+/// A run whose progress is unknown, such as one that led to quarantine. It counts as having made
+/// none.
+const fn run_without_progress(print: RequestPrint) -> BrokenRun {
     BrokenRun { print, events: 0 }
 }
--- a/crates/quarantine/tests/beside.rs
+++ b/crates/quarantine/tests/beside.rs
@@ -1,21 +1,22 @@
-//! A request that ends its upstreams, and those that only stand beside it.
+//! Guards against rejecting healthy requests that merely run beside a harmful one.
 //!
-//! What users saw: callers of healthy requests were told to come back in ten minutes. Order of events: a harmful request
-//! ends a leader with twenty streams; all of them go on elsewhere, some at the same next leader as the harmful one, which
-//! ends as well, and so once more. Cause: each end counted alike against all that were in flight there. Evidence: of six
-//! requests in quarantine, all with the same three upstreams, one had no event at any of them, the others had 13, 7, 9, 1
-//! and 11 when the first ended.
+//! A harmful request crashes a leader that runs twenty streams. All of them resume elsewhere, some
+//! at the same next leader as the harmful one, which crashes too, and so a third time. Counting
+//! every crash equally against all requests in flight put healthy requests in quarantine, and their
+//! callers were told to come back in ten minutes. Of six requests quarantined for the same three
+//! upstreams, one had no event at any of them; the others had 13, 7, 9, 1 and 11 events when the
+//! first one crashed.
 
 mod support;
 
 use bergamot_types::prelude::*;
-use support::{FleetCase, FleetOutcome, play};
+use support::{FleetCase, FleetOutcome, simulate};
 
-/// Plays of each case.
+/// Simulations of each case.
 const SEEDS: u64 = 40;
-/// Upstreams that a harmful request may end at the most: three, and those that it was on its way to when the third ended,
-/// or three more where it ends them late in its runs.
-const MOST_ENDED: usize = 6;
+/// Maximum number of upstreams that a harmful request may crash: three, plus those it was being
+/// sent to when the third crashed, or three more if it crashes them late in its runs.
+const MAX_CRASHED: usize = 6;
 
 const CASES: [FleetCase; 5] = [
     FleetCase {
@@ -23,56 +24,60 @@
         leaders: 8,
         harmful: 1,
         gap: Millis::ZERO,
-        end_time: Millis(70),
+        crash_delay: Millis(70),
     },
     FleetCase {
-        name: "four leaders, so that many go on at the same one",
+        name: "four leaders, so that many streams resume at the same one",
         leaders: 4,
         harmful: 1,
         gap: Millis::ZERO,
-        end_time: Millis(70),
+        crash_delay: Millis(70),
     },
     FleetCase {
         name: "five harmful requests, one after another",
         leaders: 12,
         harmful: 5,
         gap: Millis(2_500),
-        end_time: Millis(70),
+        crash_delay: Millis(70),
     },
     FleetCase {
-        name: "two at the same time",
+        name: "two harmful requests at the same time",
         leaders: 12,
         harmful: 2,
         gap: Millis::ZERO,
-        end_time: Millis(70),
+        crash_delay: Millis(70),
     },
     FleetCase {
-        name: "it ends its upstream after some events",
+        name: "a harmful request that crashes its upstream after some events",
         leaders: 8,
         harmful: 1,
         gap: Millis::ZERO,
-        end_time: Millis(250),
+        crash_delay: Millis(250),
     },
 ];
 
 #[test]
-fn requests_beside_a_harmful_one_are_not_refused_for_it() {
-    let mut faults = Vec::new();
+fn requests_beside_a_harmful_one_are_not_rejected() {
+    let mut failed_cases = Vec::new();
     for case in &CASES {
-        let plays: Vec<FleetOutcome> = (0..SEEDS).map(|seed| play(case, seed)).collect();
-        let sum = |part: fn(&FleetOutcome) -> usize| plays.iter().map(part).sum::<usize>();
-        let innocents = sum(|it| it.innocents);
-        let broken_off = sum(|it| it.broken_off);
-        let most = plays.iter().flat_map(|it| &it.ended).max().copied();
+        let outcomes: Vec<FleetOutcome> = (0..SEEDS).map(|seed| simulate(case, seed)).collect();
+        let sum = |count: fn(&FleetOutcome) -> usize| outcomes.iter().map(count).sum::<usize>();
+        let rejected = sum(|outcome| outcome.rejected);
+        let not_resumed = sum(|outcome| outcome.not_resumed);
+        let most_crashed = outcomes
+            .iter()
+            .flat_map(|outcome| &outcome.crashed)
+            .max()
+            .copied();
         println!(
-            "{}: {innocents} refused, {broken_off} streams not gone on with, of {} beside it; {} ends, {most:?} at most",
+            "{}: {rejected} rejected, {not_resumed} not resumed of {} beside it; {} crashes, {most_crashed:?} at most",
             case.name,
-            sum(|it| it.beside),
-            sum(|it| it.ended.iter().sum()),
+            sum(|outcome| outcome.beside),
+            sum(|outcome| outcome.crashed.iter().sum()),
         );
-        if innocents + broken_off > 0 || most > Some(MOST_ENDED) {
-            faults.push(case.name);
+        if rejected + not_resumed > 0 || most_crashed > Some(MAX_CRASHED) {
+            failed_cases.push(case.name);
         }
     }
-    assert!(faults.is_empty(), "{faults:?}");
+    assert!(failed_cases.is_empty(), "{failed_cases:?}");
 }
--- a/crates/quarantine/tests/fingerprint.rs
+++ b/crates/quarantine/tests/fingerprint.rs
@@ -1,82 +1,82 @@
-//! Which requests are the same one.
+//! Fingerprints of requests.
 
 use bergamot_quarantine::RequestPrint;
 use bergamot_types::prelude::*;
 
-struct PrintCase {
+struct FingerprintCase {
     name: &'static str,
     account: Option<&'static str>,
     path: &'static str,
     body: &'static [u8],
 }
 
-const SAME: PrintCase = PrintCase {
-    name: "the request itself",
+const SAME: FingerprintCase = FingerprintCase {
+    name: "the same request",
     account: Some("east-hall"),
     path: "/history/9?lang=hu",
     body: b"summarise",
 };
 
-fn print(case: &PrintCase) -> RequestPrint {
+fn fingerprint(case: &FingerprintCase) -> RequestPrint {
     let account = case.account.map(ClientAccount::new);
     RequestPrint::of(account.as_ref(), case.path, case.body)
 }
 
 #[test]
-fn a_print_is_the_same_for_the_same_request_only() {
+fn only_the_same_request_has_the_same_fingerprint() {
     let others = [
-        PrintCase {
+        FingerprintCase {
             name: "another account",
             account: Some("west-hall"),
             ..SAME
         },
-        PrintCase {
+        FingerprintCase {
             name: "no account",
             account: None,
             ..SAME
         },
-        PrintCase {
+        FingerprintCase {
             name: "another path",
             path: "/history/8?lang=hu",
             ..SAME
         },
-        PrintCase {
+        FingerprintCase {
             name: "another query",
             path: "/history/9",
             ..SAME
         },
-        PrintCase {
+        FingerprintCase {
             name: "another body",
             body: b"summarise.",
             ..SAME
         },
-        PrintCase {
-            name: "the same bytes with another border between path and body",
+        FingerprintCase {
+            name: "the same bytes with another boundary between path and body",
             path: "/history/9?lang=husumm",
             body: b"arise",
             ..SAME
         },
-        PrintCase {
-            name: "the same bytes with another border between account and path",
+        FingerprintCase {
+            name: "the same bytes with another boundary between account and path",
             account: Some("east-hall/history"),
             path: "/9?lang=hu",
             ..SAME
         },
     ];
-    assert_eq!(print(&SAME), print(&SAME));
+    assert_eq!(fingerprint(&SAME), fingerprint(&SAME));
     for case in &others {
-        assert_ne!(print(&SAME), print(case), "{}", case.name);
+        assert_ne!(fingerprint(&SAME), fingerprint(case), "{}", case.name);
     }
 }
 
-/// VMs of two versions compare prints: what one is made of may not change. The text was worked out by another
-/// program's SHA-256.
+/// VMs of different versions compare fingerprints, so their computation may not change. The
+/// expected value was computed with another implementation of SHA-256.
 #[test]
-fn a_print_is_the_same_in_every_version() {
+fn a_fingerprint_does_not_change_between_versions() {
     let text = "7a095636dd33a1c965e9933f9f7f48c8";
-    assert_eq!(print(&SAME).to_string(), text);
-    assert_eq!(text.parse(), Ok(print(&SAME)));
-    for wrong in ["", "f8", "zz", "7a095636dd33a1c965e9933f9f7f48c800"] {
-        assert!(wrong.parse::<RequestPrint>().is_err(), "{wrong}");
+    assert_eq!(fingerprint(&SAME).to_string(), text);
+    assert_eq!(text.parse(), Ok(fingerprint(&SAME)));
+    for malformed in ["", "f8", "zz", "7a095636dd33a1c965e9933f9f7f48c800"] {
+        assert!(malformed.parse::<RequestPrint>().is_err(), "{malformed}");
     }
 }
--- a/crates/quarantine/tests/state.rs
+++ b/crates/quarantine/tests/state.rs
@@ -1,4 +1,4 @@
-//! When a request is sent no more, over all VMs.
+//! When a request is no longer sent, across all VMs.
 
 #[path = "support/records.rs"]
 mod records;
@@ -8,19 +8,24 @@
     QuarantineState, RequestStanding,
 };
 use bergamot_types::prelude::*;
-use records::{incarnation, kept, print};
+use records::{incarnation, print, shared_records};
 
 const NOW: Millis = Millis(10_000);
 const HOUR: Millis = Millis::from_secs(3_600);
 const TODAY: UnixMillis = UnixMillis(1_700_000_000_000);
-/// At the VM that coordinates.
+/// Housekeeping on the coordinator.
 const HOUSEKEEPING: QuarantineEvent<'static> = QuarantineEvent::Housekeeping {
     coordinator_clock: Some(TODAY),
 };
 
-/// An upstream ends under a request: what this VM keeps for the others.
-fn end(state: &mut QuarantineState, now: Millis, at: u64, request: u64) -> Vec<QuarantineRecord> {
-    let incarnation = incarnation(at);
+/// Crashes an upstream under a request and returns the records that this VM shares.
+fn crash(
+    state: &mut QuarantineState,
+    now: Millis,
+    upstream: u64,
+    request: u64,
+) -> Vec<QuarantineRecord> {
+    let incarnation = incarnation(upstream);
     let broken = QuarantineEvent::Broken {
         incarnation: &incarnation,
         run: BrokenRun {
@@ -30,185 +35,193 @@
         cause: BreakCause::Closed,
     };
     let mut actions = state.handle(now, broken);
-    let ended = QuarantineEvent::Crashed {
+    let crashed = QuarantineEvent::Crashed {
         incarnation: &incarnation,
         evidence: CrashEvidence::NoListener,
     };
-    actions.extend(state.handle(now, ended));
-    kept(actions)
+    actions.extend(state.handle(now, crashed));
+    shared_records(actions)
 }
 
-/// Whether a request is sent, but not repeated.
+/// Whether a request is sent but not retried.
 fn is_suspected(state: &mut QuarantineState, request: u64) -> bool {
     matches!(state.standing(print(request)), RequestStanding::Suspected(place) if place.is_alone)
 }
 
-fn tell(state: &mut QuarantineState, now: Millis, records: &[QuarantineRecord]) {
+fn store(state: &mut QuarantineState, now: Millis, records: &[QuarantineRecord]) {
     for (number, record) in records.iter().enumerate() {
         let key = &format!("{number}");
         state.handle(now, QuarantineEvent::Stored { key, record });
     }
 }
 
-/// Upstreams that ended under one request, by VM, and what it may do then.
-struct EndsCase {
+/// The crashes of one request, by observing VM, and how it may be handled afterwards.
+struct StandingCase {
     name: &'static str,
-    /// For each VM the upstreams that ended under the request in flight from there.
-    ends: &'static [&'static [u64]],
-    standing: KnownStanding,
+    /// For each VM, the upstreams that crashed while they ran the request for it.
+    crashes: &'static [&'static [u64]],
+    standing: ExpectedStanding,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum KnownStanding {
+enum ExpectedStanding {
     Good,
     Suspected,
     Quarantined,
 }
 
 #[test]
-fn ends_are_added_up_over_all_vms() {
+fn crashes_are_added_up_over_all_vms() {
     let cases = [
-        EndsCase {
-            name: "none",
-            ends: &[],
-            standing: KnownStanding::Good,
+        StandingCase {
+            name: "no crash",
+            crashes: &[],
+            standing: ExpectedStanding::Good,
         },
-        EndsCase {
-            name: "one",
-            ends: &[&[1]],
-            standing: KnownStanding::Good,
+        StandingCase {
+            name: "one crash",
+            crashes: &[&[1]],
+            standing: ExpectedStanding::Good,
         },
-        EndsCase {
-            name: "the same one, seen by three VMs",
-            ends: &[&[1], &[1], &[1]],
-            standing: KnownStanding::Good,
+        StandingCase {
+            name: "the same crash, observed by three VMs",
+            crashes: &[&[1], &[1], &[1]],
+            standing: ExpectedStanding::Good,
         },
-        EndsCase {
-            name: "two at two VMs",
-            ends: &[&[1], &[2]],
-            standing: KnownStanding::Suspected,
+        StandingCase {
+            name: "two crashes, one at each of two VMs",
+            crashes: &[&[1], &[2]],
+            standing: ExpectedStanding::Suspected,
         },
-        EndsCase {
-            name: "three at one VM",
-            ends: &[&[1, 2, 3]],
-            standing: KnownStanding::Quarantined,
+        StandingCase {
+            name: "three crashes at one VM",
+            crashes: &[&[1, 2, 3]],
+            standing: ExpectedStanding::Quarantined,
         },
-        EndsCase {
-            name: "one each at three VMs",
-            ends: &[&[1], &[2], &[3]],
-            standing: KnownStanding::Quarantined,
+        StandingCase {
+            name: "one crash at each of three VMs",
+            crashes: &[&[1], &[2], &[3]],
+            standing: ExpectedStanding::Quarantined,
         },
-        EndsCase {
-            name: "two at each of three VMs, the same ones",
-            ends: &[&[1, 2], &[2, 1], &[1, 2]],
-            standing: KnownStanding::Suspected,
+        StandingCase {
+            name: "the same two crashes at each of three VMs",
+            crashes: &[&[1, 2], &[2, 1], &[1, 2]],
+            standing: ExpectedStanding::Suspected,
         },
     ];
     for case in cases {
         let mut records = Vec::new();
-        for upstreams in case.ends {
+        for upstreams in case.crashes {
             let mut vm = QuarantineState::default();
             for upstream in *upstreams {
-                records.extend(end(&mut vm, NOW, *upstream, 7));
+                records.extend(crash(&mut vm, NOW, *upstream, 7));
             }
         }
-        // A VM that saw none of it, such as one that has just started.
-        let mut other = QuarantineState::default();
-        tell(&mut other, NOW, &records);
-        let standing = match other.standing(print(7)) {
-            RequestStanding::Good => KnownStanding::Good,
-            RequestStanding::Suspected(_) => KnownStanding::Suspected,
-            RequestStanding::Quarantined => KnownStanding::Quarantined,
+        // A VM that observed none of the crashes, such as one that just started.
+        let mut other_vm = QuarantineState::default();
+        store(&mut other_vm, NOW, &records);
+        let standing = match other_vm.standing(print(7)) {
+            RequestStanding::Good => ExpectedStanding::Good,
+            RequestStanding::Suspected(_) => ExpectedStanding::Suspected,
+            RequestStanding::Quarantined => ExpectedStanding::Quarantined,
         };
         assert_eq!(standing, case.standing, "{}", case.name);
-        assert_eq!(other.standing(print(8)), RequestStanding::Good);
+        assert_eq!(other_vm.standing(print(8)), RequestStanding::Good);
     }
 }
 
-/// News comes late, twice and in any order.
+/// Records arrive late, twice and in any order.
 #[test]
-fn any_order_of_news_leads_to_the_same_standing() {
+fn reordered_records_do_not_change_the_standing() {
     bolero::check!()
         .with_type::<(Vec<(u8, u8)>, Vec<(u8, u8)>, u64)>()
-        .for_each(|(ends, clears, shuffle)| {
-            let ends = ends
-                .iter()
-                .map(|(at, request)| QuarantineRecord::CrashWithoutProgress {
-                    incarnation: incarnation(u64::from(*at % 5)),
-                    prints: vec![print(u64::from(*request % 3))],
-                });
-            let clears = clears
-                .iter()
-                .map(|(at, request)| QuarantineRecord::Cleared {
-                    print: print(u64::from(*request % 3)),
-                    incarnations: vec![incarnation(u64::from(*at % 5))],
-                });
-            let records: Vec<QuarantineRecord> = ends.chain(clears).collect();
+        .for_each(|(crashes, clearances, shuffle)| {
+            let crashes =
+                crashes.iter().map(
+                    |(upstream, request)| QuarantineRecord::CrashWithoutProgress {
+                        incarnation: incarnation(u64::from(*upstream % 5)),
+                        prints: vec![print(u64::from(*request % 3))],
+                    },
+                );
+            let clearances =
+                clearances
+                    .iter()
+                    .map(|(upstream, request)| QuarantineRecord::Cleared {
+                        print: print(u64::from(*request % 3)),
+                        incarnations: vec![incarnation(u64::from(*upstream % 5))],
+                    });
+            let records: Vec<QuarantineRecord> = crashes.chain(clearances).collect();
             let mut shuffled = records.clone();
             shuffled.extend(records.iter().cloned());
             shuffled.sort_by_key(|record| {
                 hash_bytes(format!("{record:?}").as_bytes()).wrapping_mul(*shuffle | 1)
             });
-            let (mut first, mut second) = (QuarantineState::default(), QuarantineState::default());
-            tell(&mut first, NOW, &records);
-            tell(&mut second, NOW, &shuffled);
+            let (mut in_order, mut out_of_order) =
+                (QuarantineState::default(), QuarantineState::default());
+            store(&mut in_order, NOW, &records);
+            store(&mut out_of_order, NOW, &shuffled);
             for request in 0..3 {
-                let standing = first.standing(print(request));
-                assert_eq!(standing, second.standing(print(request)));
+                let standing = in_order.standing(print(request));
+                assert_eq!(standing, out_of_order.standing(print(request)));
             }
         });
 }
 
 #[test]
-fn a_whole_answer_clears_a_request_everywhere() {
+fn a_complete_answer_clears_a_request_on_all_vms() {
     let mut vm = QuarantineState::default();
     let mut records = Vec::new();
     for upstream in 1..=2 {
-        records.extend(end(&mut vm, NOW, upstream, 7));
+        records.extend(crash(&mut vm, NOW, upstream, 7));
     }
     assert!(is_suspected(&mut vm, 7));
-    records.extend(kept(vm.handle(NOW, QuarantineEvent::Answered(print(7)))));
-    // Answered again, there is nothing more to say.
+    records.extend(shared_records(
+        vm.handle(NOW, QuarantineEvent::Answered(print(7))),
+    ));
+    // A second answer leaves nothing to report.
     assert_eq!(vm.handle(NOW, QuarantineEvent::Answered(print(7))), []);
-    let mut other = QuarantineState::default();
-    // Late news of an end that it was cleared of does not count.
+    let mut other_vm = QuarantineState::default();
+    // A late report of a cleared crash does not count.
     records.reverse();
-    tell(&mut other, NOW, &records);
-    tell(&mut other, NOW, &end(&mut vm, NOW, 3, 7));
-    tell(&mut other, NOW, &end(&mut vm, NOW, 4, 7));
-    assert!(is_suspected(&mut other, 7));
-    tell(&mut other, NOW, &end(&mut vm, NOW, 5, 7));
-    assert_eq!(other.standing(print(7)), RequestStanding::Quarantined);
+    store(&mut other_vm, NOW, &records);
+    store(&mut other_vm, NOW, &crash(&mut vm, NOW, 3, 7));
+    store(&mut other_vm, NOW, &crash(&mut vm, NOW, 4, 7));
+    assert!(is_suspected(&mut other_vm, 7));
+    store(&mut other_vm, NOW, &crash(&mut vm, NOW, 5, 7));
+    assert_eq!(other_vm.standing(print(7)), RequestStanding::Quarantined);
 }
 
-/// The same call of a plain service many times a second: its instances end now and then for reasons of their own.
+/// The same call of a plain service, many times a second, whose instances crash now and then for
+/// unrelated reasons.
 #[test]
-fn a_request_that_is_answered_in_between_is_never_refused() {
+fn a_request_answered_between_crashes_is_never_rejected() {
     let mut vm = QuarantineState::default();
     let mut records = Vec::new();
     for upstream in 0..200 {
         let now = NOW + Millis(upstream * 1_000);
-        records.extend(end(&mut vm, now, upstream, 7));
+        records.extend(crash(&mut vm, now, upstream, 7));
         assert_eq!(vm.standing(print(7)), RequestStanding::Good);
-        records.extend(kept(vm.handle(now, QuarantineEvent::Answered(print(7)))));
-        // A VM that starts now, and one that only answers it.
-        let mut started = QuarantineState::default();
-        tell(&mut started, now, &records);
-        assert_eq!(started.standing(print(7)), RequestStanding::Good);
+        records.extend(shared_records(
+            vm.handle(now, QuarantineEvent::Answered(print(7))),
+        ));
+        // A VM that starts now, and one that only answers the request.
+        let mut new_vm = QuarantineState::default();
+        store(&mut new_vm, now, &records);
+        assert_eq!(new_vm.standing(print(7)), RequestStanding::Good);
     }
-    let mut bystander = QuarantineState::default();
-    tell(&mut bystander, NOW, &end(&mut vm, NOW, 999, 7));
+    let mut answering_vm = QuarantineState::default();
+    store(&mut answering_vm, NOW, &crash(&mut vm, NOW, 999, 7));
     assert_eq!(
-        bystander.handle(NOW, QuarantineEvent::Answered(print(7))),
+        answering_vm.handle(NOW, QuarantineEvent::Answered(print(7))),
         []
     );
 }
 
 #[test]
-fn a_flood_neither_fills_the_memory_nor_frees_a_request() {
+fn a_flood_of_requests_is_bounded_and_evicts_no_quarantined_request() {
     let mut vm = QuarantineState::default();
     for upstream in 1..=3 {
-        end(&mut vm, NOW, upstream, 0);
+        crash(&mut vm, NOW, upstream, 0);
     }
     for request in 1..40_000 {
         let now = NOW + Millis(request);
@@ -216,121 +229,126 @@
             incarnation: incarnation(4 + request / 26),
             prints: vec![print(request)],
         };
-        tell(&mut vm, now, &[record]);
+        store(&mut vm, now, &[record]);
     }
     assert!(vm.request_count() <= 8_192, "{}", vm.request_count());
     assert_eq!(vm.standing(print(0)), RequestStanding::Quarantined);
-    // The latest ones are known.
+    // The latest requests are still recorded.
     assert!(vm.has_open_crash(print(39_999)));
 }
 
 struct AgeCase {
     name: &'static str,
-    ends: u64,
+    crashes: u64,
     age: Millis,
-    is_refused_meanwhile: bool,
-    is_known: bool,
+    is_rejected_meanwhile: bool,
+    is_remembered: bool,
 }
 
 #[test]
-fn what_does_not_matter_any_more_is_forgotten() {
+fn inactive_requests_are_forgotten() {
     let day = Millis(24 * HOUR.0);
     let cases = [
         AgeCase {
-            name: "one end, within the hour",
-            ends: 1,
+            name: "one crash, within the hour",
+            crashes: 1,
             age: Millis(HOUR.0 - 1),
-            is_refused_meanwhile: false,
-            is_known: true,
+            is_rejected_meanwhile: false,
+            is_remembered: true,
         },
         AgeCase {
-            name: "one end, an hour later",
-            ends: 1,
+            name: "one crash, an hour later",
+            crashes: 1,
             age: HOUR,
-            is_refused_meanwhile: false,
-            is_known: false,
+            is_rejected_meanwhile: false,
+            is_remembered: false,
         },
         AgeCase {
             name: "in quarantine, within the day",
-            ends: 3,
+            crashes: 3,
             age: Millis(day.0 - 1),
-            is_refused_meanwhile: false,
-            is_known: true,
+            is_rejected_meanwhile: false,
+            is_remembered: true,
         },
         AgeCase {
             name: "in quarantine, a day later",
-            ends: 3,
+            crashes: 3,
             age: day,
-            is_refused_meanwhile: false,
-            is_known: false,
+            is_rejected_meanwhile: false,
+            is_remembered: false,
         },
         AgeCase {
-            name: "in quarantine, a day later, but it came meanwhile",
-            ends: 3,
+            name: "in quarantine, a day later, but rejected meanwhile",
+            crashes: 3,
             age: day,
-            is_refused_meanwhile: true,
-            is_known: true,
+            is_rejected_meanwhile: true,
+            is_remembered: true,
         },
     ];
     for case in cases {
         let mut vm = QuarantineState::default();
-        for upstream in 0..case.ends {
-            end(&mut vm, NOW, upstream, 7);
+        for upstream in 0..case.crashes {
+            crash(&mut vm, NOW, upstream, 7);
         }
-        if case.is_refused_meanwhile {
+        if case.is_rejected_meanwhile {
             vm.record_rejection(NOW + HOUR, print(7));
         }
         let event = QuarantineEvent::Housekeeping {
             coordinator_clock: None,
         };
         vm.handle(NOW + case.age, event);
-        assert_eq!(vm.has_open_crash(print(7)), case.is_known, "{}", case.name);
+        assert_eq!(
+            vm.has_open_crash(print(7)),
+            case.is_remembered,
+            "{}",
+            case.name
+        );
     }
 }
 
 #[test]
-fn the_coordinator_keeps_the_records_in_order() {
+fn the_coordinator_adds_and_removes_records() {
     let mut vm = QuarantineState::default();
     let mut records = Vec::new();
     for upstream in 1..=3 {
-        records.extend(end(&mut vm, NOW, upstream, 7));
+        records.extend(crash(&mut vm, NOW, upstream, 7));
     }
-    tell(&mut vm, NOW, &records);
-    // What others saw may still blame another request.
+    store(&mut vm, NOW, &records);
+    // Other VMs' observations may still blame another request.
     assert_eq!(vm.handle(NOW, HOUSEKEEPING), []);
-    // The quarantine gets a record of its own, once.
-    let settled = NOW + Millis(1_000);
-    let held = kept(vm.handle(settled, HOUSEKEEPING));
+    // The quarantine gets its own record, once.
+    let settled_at = NOW + Millis(1_000);
+    let shared = shared_records(vm.handle(settled_at, HOUSEKEEPING));
     let expected = QuarantineRecord::Quarantined {
         print: print(7),
         incarnations: (1..=3).map(incarnation).collect(),
         since: TODAY,
     };
-    assert_eq!(held, std::slice::from_ref(&expected));
+    assert_eq!(shared, std::slice::from_ref(&expected));
     let key = "held";
     let record = &expected;
-    vm.handle(settled, QuarantineEvent::Stored { key, record });
-    assert_eq!(vm.handle(settled, HOUSEKEEPING), []);
-    // It outlives the ends that led to it.
-    let later = NOW + HOUR;
-    let removed = vm.handle(later, HOUSEKEEPING);
+    vm.handle(settled_at, QuarantineEvent::Stored { key, record });
+    assert_eq!(vm.handle(settled_at, HOUSEKEEPING), []);
+    // That record outlives the records of the crashes.
+    let expired_at = NOW + HOUR;
+    let actions = vm.handle(expired_at, HOUSEKEEPING);
     let keys = (0..3).map(|number| number.to_string()).collect();
-    assert_eq!(removed, [QuarantineAction::Remove(keys)]);
-    let mut started = QuarantineState::default();
-    tell(&mut started, later, std::slice::from_ref(&expected));
-    assert_eq!(started.standing(print(7)), RequestStanding::Quarantined);
-    // Once the request is cleared, its record goes.
+    assert_eq!(actions, [QuarantineAction::Remove(keys)]);
+    let mut new_vm = QuarantineState::default();
+    store(&mut new_vm, expired_at, std::slice::from_ref(&expected));
+    assert_eq!(new_vm.standing(print(7)), RequestStanding::Quarantined);
+    // Once the request is cleared, its quarantine record is removed.
     let cleared = QuarantineRecord::Cleared {
         print: print(7),
         incarnations: (1..=3).map(incarnation).collect(),
     };
-    tell(&mut vm, NOW, &[cleared]);
-    let removed = vm.handle(NOW, HOUSEKEEPING);
-    assert_eq!(removed, [QuarantineAction::Remove(vec![key.to_owned()])]);
+    store(&mut vm, NOW, &[cleared]);
+    let actions = vm.handle(NOW, HOUSEKEEPING);
+    assert_eq!(actions, [QuarantineAction::Remove(vec![key.to_owned()])]);
 }
 
 #[test]
-fn records_of_another_version_are_told_apart() {
+fn malformed_records_are_not_decoded() {
     let record = QuarantineRecord::Crash {
         incarnation: incarnation(1),
         runs: vec![BrokenRun {
@@ -338,12 +356,12 @@
             events: 3,
         }],
     };
-    let bytes = record.to_bytes().expect("it can be written");
+    let bytes = record.to_bytes().expect("the record can be encoded");
     assert_eq!(QuarantineRecord::from_bytes(&bytes), Ok(record));
-    for foreign in [&[9_u8, 1, 2][..], &[], &bytes[..bytes.len() - 1]] {
+    for malformed in [&[9_u8, 1, 2][..], &[], &bytes[..bytes.len() - 1]] {
         assert!(
-            QuarantineRecord::from_bytes(foreign).is_err(),
-            "{foreign:?}"
+            QuarantineRecord::from_bytes(malformed).is_err(),
+            "{malformed:?}"
         );
     }
 }
--- a/crates/quarantine/tests/support/mod.rs
+++ b/crates/quarantine/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! A fleet in virtual time: streams at the leaders of one model, and requests that end each leader that runs them.
+//! Simulates a fleet in virtual time: streams at the leaders of one model, and requests that crash
+//! every leader that runs them.
 
 mod records;
 
@@ -11,59 +12,59 @@
 use rand_chacha::ChaCha8Rng;
 use records::print;
 
-/// Time between two steps.
+/// Simulated time per step.
 const STEP: Millis = Millis(10);
-/// When a harmful request first comes: the leaders are busy.
-const FIRST_HARM: Millis = Millis(4_000);
-/// Length of a play after the last one has come.
-const LENGTH: Millis = Millis::from_secs(8);
-/// Entry VMs.
-const VMS: usize = 8;
-/// Requests a second, so that some twenty run at each of eight leaders.
-const ARRIVALS: f64 = 140.0;
-/// Time from the begin of a run to its first event, and between two events.
-const FIRST_TIME: Millis = Millis(110);
-const EVENT_TIME: Millis = Millis(40);
-/// Events of a stream at most.
-const MOST_EVENTS: u32 = 56;
-/// Time in which one VM's news is at the others.
-const NEWS_TIME: Millis = Millis(10);
-/// Time for which a request waits for what the others saw of an end, before it is held back for it.
-const SETTLE_TIME: Millis = Millis(30);
-/// Time until an upstream that ended is back, as another run.
-const DOWN_TIME: Millis = Millis(3_500);
-/// Time after which a caller comes again that was refused or broken off, and how often it does.
-const RETURN_TIME: Millis = Millis(300);
-const RETURNS: u32 = 2;
+/// When the first harmful request comes. The leaders are busy by then.
+const FIRST_HARMFUL_AT: Millis = Millis(4_000);
+/// Length of the simulation after the last harmful request has come.
+const LENGTH_AFTER_LAST: Millis = Millis::from_secs(8);
+/// Number of entry VMs.
+const VM_COUNT: usize = 8;
+/// Requests per second, such that some twenty run at each of eight leaders.
+const ARRIVALS_PER_SECOND: f64 = 140.0;
+/// Time from the start of a run to its first event, and between two events.
+const FIRST_EVENT_DELAY: Millis = Millis(110);
+const EVENT_PERIOD: Millis = Millis(40);
+/// Maximum number of events of a stream.
+const MAX_EVENTS: u32 = 56;
+/// Delay until a VM's reports reach the others.
+const REPORT_DELAY: Millis = Millis(10);
+/// How long a request waits for the other VMs' reports of a crash before it is checked.
+const SETTLE_DELAY: Millis = Millis(30);
+/// Time until a crashed upstream is back as a new incarnation.
+const RESTART_DELAY: Millis = Millis(3_500);
+/// Shortest delay before a rejected or interrupted caller returns, and how often it does.
+const RETURN_DELAY: Millis = Millis(300);
+const MAX_RETURNS: u32 = 2;
 
-/// What is played.
+/// A case to simulate.
 pub struct FleetCase {
-    /// Its name.
+    /// The name of the case.
     pub name: &'static str,
-    /// Leaders of the model.
+    /// Number of leaders of the model.
     pub leaders: usize,
-    /// Requests that end upstreams.
+    /// Number of requests that crash upstreams.
     pub harmful: u64,
-    /// Time between the first sends of two of them.
+    /// Time between the first sends of two harmful requests.
     pub gap: Millis,
-    /// Time from the begin of such a run to the end of its upstream.
-    pub end_time: Millis,
+    /// Time from the start of a harmful run to the crash of its upstream.
+    pub crash_delay: Millis,
 }
 
-/// What came of it.
+/// The outcome of a simulation.
 #[derive(Default, Debug)]
 pub struct FleetOutcome {
-    /// Upstreams that ended, by harmful request.
-    pub ended: Vec<usize>,
-    /// Other requests that were refused as in quarantine.
-    pub innocents: usize,
-    /// Other streams that were not gone on with.
-    pub broken_off: usize,
-    /// Other requests that had a stream at an upstream that ended.
+    /// Number of crashed upstreams, by harmful request.
+    pub crashed: Vec<usize>,
+    /// Number of healthy requests rejected as quarantined.
+    pub rejected: usize,
+    /// Number of healthy streams that were not resumed.
+    pub not_resumed: usize,
+    /// Number of healthy streams interrupted by a crash.
     pub beside: usize,
 }
 
-/// A request of one caller.
+/// A caller's request.
 #[derive(Clone, Copy)]
 struct Request {
     number: u64,
@@ -72,27 +73,27 @@
     returns: u32,
 }
 
-/// Its stream at one leader.
+/// A request's run at one leader.
 #[derive(Clone, Copy)]
 struct Run {
     request: Request,
     vm: usize,
-    begun: Millis,
-    /// Events that came before it, at other leaders.
-    after: u32,
-    leaders: u32,
+    start: Millis,
+    /// Number of events received from earlier leaders.
+    earlier_events: u32,
+    leader_count: u32,
 }
 
 impl Run {
     fn events(&self, now: Millis) -> u32 {
-        let since = now.since(self.begun);
-        match since < FIRST_TIME {
+        let age = now.since(self.start);
+        match age < FIRST_EVENT_DELAY {
             true => 0,
-            false => 1 + (since.since(FIRST_TIME).0 / EVENT_TIME.0) as u32,
+            false => 1 + (age.since(FIRST_EVENT_DELAY).0 / EVENT_PERIOD.0) as u32,
         }
     }
 
-    fn broken(&self, now: Millis) -> BrokenRun {
+    fn interrupted(&self, now: Millis) -> BrokenRun {
         BrokenRun {
             print: print(self.request.number),
             events: self.events(now),
@@ -106,8 +107,8 @@
     runs: Vec<Run>,
 }
 
-/// A request that is sent at a later time, for the first time or once more.
-struct Sending {
+/// A request to send at a later time, for the first time or again.
+struct ScheduledSend {
     at: Millis,
     run: Run,
 }
@@ -118,24 +119,24 @@
     rng: ChaCha8Rng,
     leaders: Vec<Leader>,
     vms: Vec<QuarantineState>,
-    sendings: Vec<Sending>,
-    news: Vec<(Millis, QuarantineRecord)>,
+    scheduled_sends: Vec<ScheduledSend>,
+    reports: Vec<(Millis, QuarantineRecord)>,
     outcome: FleetOutcome,
     incarnations: u64,
 }
 
-/// Plays a case.
-pub fn play(case: &'static FleetCase, seed: u64) -> FleetOutcome {
+/// Simulates a case.
+pub fn simulate(case: &'static FleetCase, seed: u64) -> FleetOutcome {
     let mut fleet = Fleet {
         now: Millis(1_000),
         case,
         rng: ChaCha8Rng::seed_from_u64(seed),
         leaders: Vec::new(),
-        vms: (0..VMS).map(|_| QuarantineState::default()).collect(),
-        sendings: Vec::new(),
-        news: Vec::new(),
+        vms: (0..VM_COUNT).map(|_| QuarantineState::default()).collect(),
+        scheduled_sends: Vec::new(),
+        reports: Vec::new(),
         outcome: FleetOutcome {
-            ended: vec![0; case.harmful as usize],
+            crashed: vec![0; case.harmful as usize],
             ..FleetOutcome::default()
         },
         incarnations: 0,
@@ -149,31 +150,32 @@
             runs,
         });
     }
-    fleet.play();
+    fleet.simulate();
     fleet.outcome
 }
 
 impl Fleet {
-    fn play(&mut self) {
+    fn simulate(&mut self) {
         for number in 0..self.case.harmful {
-            let at = FIRST_HARM + Millis(number * self.case.gap.0);
-            self.arrive(at, number, true);
+            let at = FIRST_HARMFUL_AT + Millis(number * self.case.gap.0);
+            self.add_request(at, number, true);
         }
-        let end = FIRST_HARM + Millis(self.case.harmful * self.case.gap.0) + LENGTH;
+        let ends_at =
+            FIRST_HARMFUL_AT + Millis(self.case.harmful * self.case.gap.0) + LENGTH_AFTER_LAST;
         let mut number = self.case.harmful;
-        while self.now < end {
+        while self.now < ends_at {
             self.now = self.now + STEP;
-            let arrivals = ARRIVALS * STEP.0 as f64 / 1_000.0;
-            let whole = arrivals.floor() as u64;
-            let more = u64::from(self.rng.random_bool(arrivals.fract()));
-            for _ in 0..whole + more {
-                self.arrive(self.now, number, false);
+            let arrivals = ARRIVALS_PER_SECOND * STEP.0 as f64 / 1_000.0;
+            let whole_arrivals = arrivals.floor() as u64;
+            let extra_arrival = u64::from(self.rng.random_bool(arrivals.fract()));
+            for _ in 0..whole_arrivals + extra_arrival {
+                self.add_request(self.now, number, false);
                 number += 1;
             }
-            self.hear();
+            self.deliver_reports();
             self.send_due();
-            self.end_leaders();
-            self.finish();
+            self.crash_leaders();
+            self.finish_runs();
         }
     }
 
@@ -182,31 +184,31 @@
         UpstreamIncarnation::new(UpstreamId::new(&format!("u{}", self.incarnations)), None)
     }
 
-    fn arrive(&mut self, at: Millis, number: u64, is_harmful: bool) {
+    fn add_request(&mut self, at: Millis, number: u64, is_harmful: bool) {
         let request = Request {
             number,
             is_harmful,
-            events: self.rng.random_range(1..=MOST_EVENTS),
+            events: self.rng.random_range(1..=MAX_EVENTS),
             returns: 0,
         };
-        self.come(at, request);
+        self.schedule(at, request);
     }
 
-    /// A caller comes, to any VM.
-    fn come(&mut self, at: Millis, request: Request) {
+    /// Sends a caller's request to a random VM.
+    fn schedule(&mut self, at: Millis, request: Request) {
         let run = Run {
             request,
-            vm: self.rng.random_range(0..VMS),
-            begun: at,
-            after: 0,
-            leaders: 0,
+            vm: self.rng.random_range(0..VM_COUNT),
+            start: at,
+            earlier_events: 0,
+            leader_count: 0,
         };
-        self.sendings.push(Sending { at, run });
+        self.scheduled_sends.push(ScheduledSend { at, run });
     }
 
-    fn hear(&mut self) {
+    fn deliver_reports(&mut self) {
         let now = self.now;
-        let due = self.news.extract_if(.., |(at, _)| *at <= now);
+        let due = self.reports.extract_if(.., |(at, _)| *at <= now);
         for (_, record) in due {
             for vm in &mut self.vms {
                 vm.handle(now, QuarantineEvent::Reported(&record));
@@ -216,89 +218,92 @@
 
     fn send_due(&mut self) {
         let now = self.now;
-        let due: Vec<Sending> = self.sendings.extract_if(.., |it| it.at <= now).collect();
-        for sending in due {
-            self.send(sending.run);
+        let due: Vec<ScheduledSend> = self
+            .scheduled_sends
+            .extract_if(.., |send| send.at <= now)
+            .collect();
+        for scheduled in due {
+            self.send(scheduled.run);
         }
     }
 
     fn send(&mut self, mut run: Run) {
-        let has_run = run.leaders > 0;
+        let has_run = run.leader_count > 0;
         let standing = self.vms[run.vm].standing(print(run.request.number));
-        let (is_refused, place) = match standing {
+        let (is_rejected, place) = match standing {
             RequestStanding::Good => (false, None),
             RequestStanding::Suspected(place) => (place.is_alone && has_run, Some(place.number)),
             RequestStanding::Quarantined => (true, None),
         };
-        if is_refused {
-            let is_innocent = !run.request.is_harmful;
-            let is_held = standing == RequestStanding::Quarantined;
-            self.outcome.innocents += usize::from(is_innocent && is_held);
-            self.outcome.broken_off += usize::from(is_innocent && has_run);
-            self.come_again(run.request);
+        if is_rejected {
+            let is_healthy = !run.request.is_harmful;
+            let is_quarantined = standing == RequestStanding::Quarantined;
+            self.outcome.rejected += usize::from(is_healthy && is_quarantined);
+            self.outcome.not_resumed += usize::from(is_healthy && has_run);
+            self.schedule_return(run.request);
             return;
         }
         let now = self.now;
-        let up = (0..self.leaders.len()).filter(|it| self.leaders[*it].up_at <= now);
-        let up: Vec<usize> = up.collect();
-        if up.is_empty() {
-            self.come_again(run.request);
+        let running = (0..self.leaders.len()).filter(|index| self.leaders[*index].up_at <= now);
+        let running: Vec<usize> = running.collect();
+        if running.is_empty() {
+            self.schedule_return(run.request);
             return;
         }
-        // The less busy of two that are drawn.
-        let drawn = [0, 1].map(|_| up[self.rng.random_range(0..up.len())]);
+        // Chooses the less loaded of two random leaders.
+        let drawn = [0, 1].map(|_| running[self.rng.random_range(0..running.len())]);
         let [first, second] = drawn;
-        let is_less = self.leaders[second].runs.len() < self.leaders[first].runs.len();
+        let is_less_loaded = self.leaders[second].runs.len() < self.leaders[first].runs.len();
         let chosen = match place {
-            Some(place) => up[(place % up.len() as u64) as usize],
-            None if is_less => second,
+            Some(place) => running[(place % running.len() as u64) as usize],
+            None if is_less_loaded => second,
             None => first,
         };
-        run.begun = now;
-        run.leaders += 1;
+        run.start = now;
+        run.leader_count += 1;
         self.leaders[chosen].runs.push(run);
     }
 
-    fn come_again(&mut self, request: Request) {
-        if request.returns < RETURNS {
+    fn schedule_return(&mut self, request: Request) {
+        if request.returns < MAX_RETURNS {
             let returns = request.returns + 1;
-            let pause = Millis(self.rng.random_range(RETURN_TIME.0..2 * RETURN_TIME.0));
-            self.come(self.now + pause, Request { returns, ..request });
+            let delay = Millis(self.rng.random_range(RETURN_DELAY.0..2 * RETURN_DELAY.0));
+            self.schedule(self.now + delay, Request { returns, ..request });
         }
     }
 
-    /// Leaders end at which a harmful run has been for long enough, and all runs there break off.
-    fn end_leaders(&mut self) {
+    /// Crashes the leaders whose harmful run has lasted long enough, and interrupts all runs there.
+    fn crash_leaders(&mut self) {
         let now = self.now;
-        for place in 0..self.leaders.len() {
-            let ends =
-                |run: &Run| run.request.is_harmful && now.since(run.begun) >= self.case.end_time;
-            let leader = &self.leaders[place];
-            let Some(harmful) = leader.runs.iter().find(|run| ends(run)) else {
+        for index in 0..self.leaders.len() {
+            let is_crashing =
+                |run: &Run| run.request.is_harmful && now.since(run.start) >= self.case.crash_delay;
+            let leader = &self.leaders[index];
+            let Some(harmful) = leader.runs.iter().find(|run| is_crashing(run)) else {
                 continue;
             };
-            self.outcome.ended[harmful.request.number as usize] += 1;
+            self.outcome.crashed[harmful.request.number as usize] += 1;
             let incarnation = self.next_incarnation();
-            let leader = &mut self.leaders[place];
-            leader.up_at = now + DOWN_TIME;
-            let ended = std::mem::replace(&mut leader.incarnation, incarnation);
+            let leader = &mut self.leaders[index];
+            leader.up_at = now + RESTART_DELAY;
+            let crashed = std::mem::replace(&mut leader.incarnation, incarnation);
             for run in std::mem::take(&mut leader.runs) {
-                self.break_off(&ended, run);
+                self.interrupt(&crashed, run);
             }
         }
     }
 
-    fn break_off(&mut self, incarnation: &UpstreamIncarnation, run: Run) {
+    fn interrupt(&mut self, incarnation: &UpstreamIncarnation, run: Run) {
         let now = self.now;
         self.outcome.beside += usize::from(!run.request.is_harmful);
-        let broken = run.broken(now);
+        let interrupted = run.interrupted(now);
         let vm = &mut self.vms[run.vm];
         let (cause, evidence) = (BreakCause::Closed, CrashEvidence::NoListener);
         let mut actions = vm.handle(
             now,
             QuarantineEvent::Broken {
                 incarnation,
-                run: broken,
+                run: interrupted,
                 cause,
             },
         );
@@ -309,30 +314,35 @@
                 evidence,
             },
         ));
-        let is_held = vm.standing(broken.print) != RequestStanding::Good;
+        let must_wait = vm.standing(interrupted.print) != RequestStanding::Good;
         for action in actions {
             if let QuarantineAction::Share(record) = action {
-                self.news.push((now + NEWS_TIME, record));
+                self.reports.push((now + REPORT_DELAY, record));
             }
         }
         let run = Run {
-            after: run.after + broken.events,
+            earlier_events: run.earlier_events + interrupted.events,
             ..run
         };
-        let wait = if is_held { SETTLE_TIME } else { Millis::ZERO };
-        self.sendings.push(Sending {
+        let wait = if must_wait {
+            SETTLE_DELAY
+        } else {
+            Millis::ZERO
+        };
+        self.scheduled_sends.push(ScheduledSend {
             at: now + wait + STEP,
             run,
         });
     }
 
-    fn finish(&mut self) {
+    fn finish_runs(&mut self) {
         let now = self.now;
         for leader in &mut self.leaders {
-            let done = leader.runs.extract_if(.., |run| {
-                run.after + run.events(now) >= run.request.events && !run.request.is_harmful
+            let finished_runs = leader.runs.extract_if(.., |run| {
+                run.earlier_events + run.events(now) >= run.request.events
+                    && !run.request.is_harmful
             });
-            for run in done.filter(|run| run.leaders == 1) {
+            for run in finished_runs.filter(|run| run.leader_count == 1) {
                 let answered = QuarantineEvent::Answered(print(run.request.number));
                 let vm = &mut self.vms[run.vm];
                 if !vm.is_empty() {
--- a/crates/quarantine/tests/support/records.rs
+++ b/crates/quarantine/tests/support/records.rs
@@ -13,11 +13,11 @@
     UpstreamIncarnation::new(id, Some(UnixMillis(number)))
 }
 
-/// Records that are to be kept for the others.
-pub fn kept(actions: Vec<QuarantineAction>) -> Vec<QuarantineRecord> {
-    let kept = actions.into_iter().filter_map(|action| match action {
+/// Returns the records to share with the other VMs.
+pub fn shared_records(actions: Vec<QuarantineAction>) -> Vec<QuarantineRecord> {
+    let shared_records = actions.into_iter().filter_map(|action| match action {
         QuarantineAction::Share(record) => Some(record),
         _ => None,
     });
-    kept.collect()
+    shared_records.collect()
 }
