--- a/crates/shutdown/src/lib.rs
+++ b/crates/shutdown/src/lib.rs
@@ -1,15 +1,16 @@
-//! The life cycle of a process that takes callers in, from its start to the end of a planned stop.
+//! The life cycle of a process that accepts callers, from its start to the end of a planned
+//! shutdown.
 //!
-//! | module | what it knows |
+//! | module | responsibility |
 //! | --- | --- |
-//! | [`phase`] | the phases, and which may follow which |
-//! | [`options`] | the times of a stop |
-//! | [`state`] | what moves a process from one phase to the next |
+//! | [`phase`] | the phases and the transitions between them |
+//! | [`options`] | the deadlines of a shutdown |
+//! | [`state`] | the state machine that moves a process from one phase to the next |
 //!
-//! Nothing is decided from a sample that an arrival could make false: connections are counted when they are accepted,
-//! and the process ends only after its listener is closed.
+//! No decision relies on a snapshot that a new connection could invalidate: connections are counted
+//! when they are accepted, and the process exits early only after its listener is closed.
 //!
-//! Decisions only: no sockets and no clock.
+//! The crate only makes decisions: it uses no sockets and no clock.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/shutdown/src/options.rs
+++ b/crates/shutdown/src/options.rs
@@ -1,38 +1,41 @@
-//! The times of a stop.
+//! Deadlines of a shutdown.
 
 use bergamot_types::prelude::*;
 
-/// Time after the signal to stop in which the balancer learns of it, by two missed questions a second apart, and
-/// callers still come who have not heard of it. The listener is closed then: most of what comes later could outlast the
-/// grace, and a caller who cannot connect goes elsewhere at once, where one that is refused has lost a try.
-const NOTICE_TIME: Millis = Millis(2_600);
-/// Time before the end of the grace in which the process ends whatever is in flight: it is killed at that end.
-const END_MARGIN: Millis = Millis(500);
-/// The same is at most one part in so many of a short grace, so that callers have the rest.
-const END_MARGIN_PART: u64 = 6;
-/// Time for an answer to leave once its request's deadline has passed.
+/// How long the listener stays open after the stop signal. The balancer takes two failed health
+/// checks a second apart to notice the stop, and until then callers that do not know of it keep
+/// connecting. Most requests that arrive later could outlast the grace period, and a caller that
+/// cannot connect goes elsewhere at once, whereas a rejected request costs it an attempt.
+const NOTICE_PERIOD: Millis = Millis(2_600);
+/// How long before the end of the grace period the process exits even if requests are in flight. It
+/// is killed when the period ends.
+const EXIT_MARGIN: Millis = Millis(500);
+/// Divisor that limits the exit margin to a fraction of a short grace period, so that callers get
+/// the rest.
+const EXIT_MARGIN_DIVISOR: u64 = 6;
+/// Time for an answer to reach the caller after the request's deadline.
 const ANSWER_MARGIN: Millis = Millis(100);
 
-/// The times of one stop, counted from its signal.
+/// Deadlines of one shutdown, relative to the stop signal.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct ShutdownOptions {
-    /// When callers have had time to hear of it, and the listener is closed.
-    pub notice: Millis,
-    /// When whatever is in flight is cut.
-    pub end: Millis,
-    /// When requests must be over that are taken after the notice.
-    pub answer_end: Millis,
+    /// When callers have had time to notice the stop, and the listener closes.
+    pub notice_period: Millis,
+    /// When the remaining connections are cut.
+    pub exit_deadline: Millis,
+    /// Deadline of requests that are read after the notice period.
+    pub answer_deadline: Millis,
 }
 
 impl ShutdownOptions {
-    /// The times of a stop after which the process is killed when `grace` is over. Where that is short, the notice takes a
-    /// half of it at most.
+    /// Returns the deadlines of a process that is killed when `grace` ends. The notice period is at
+    /// most half of `grace`.
     pub fn within(grace: Millis) -> Self {
-        let end = grace.since(END_MARGIN.min(Millis(grace.0 / END_MARGIN_PART)));
+        let exit_deadline = grace.since(EXIT_MARGIN.min(Millis(grace.0 / EXIT_MARGIN_DIVISOR)));
         Self {
-            notice: NOTICE_TIME.min(Millis(grace.0 / 2)).min(end),
-            end,
-            answer_end: end.since(ANSWER_MARGIN),
+            notice_period: NOTICE_PERIOD.min(Millis(grace.0 / 2)).min(exit_deadline),
+            exit_deadline,
+            answer_deadline: exit_deadline.since(ANSWER_MARGIN),
         }
     }
 }
--- a/crates/shutdown/src/phase.rs
+++ b/crates/shutdown/src/phase.rs
@@ -1,52 +1,53 @@
-//! The phases of a process. Each may only be followed by the next one: a phase is taken to make the one after it.
+//! The phases of a process. Each transition consumes a phase and returns the next one, so that no
+//! phase can be skipped.
 
 use bergamot_types::prelude::*;
 
 use crate::options::ShutdownOptions;
 
-/// A process in one of its phases, with the connections of callers that are open.
+/// A process in one of its phases, with its number of open caller connections.
 #[derive(Debug)]
 pub struct CountedPhase<Phase> {
     connections: usize,
     phase: Phase,
 }
 
-/// Callers are taken in, and no stop is under way.
+/// The process accepts callers; no shutdown is in progress.
 #[derive(Debug)]
 pub struct ServingPhase;
 
-/// The signal to stop has come; callers who have not heard of it are taken in as before.
+/// The stop signal was received. Callers that do not know of it are still accepted.
 #[derive(Debug)]
 pub struct NotifiedPhase {
-    /// When it came.
-    pub began: Millis,
-    /// The times of this stop.
+    /// When the signal was received.
+    pub started_at: Millis,
+    /// Deadlines of this shutdown.
     pub options: ShutdownOptions,
 }
 
-/// The listener is to be closed; callers that wait to be accepted are taken in.
+/// The listener is being closed; connections in its backlog are still accepted.
 #[derive(Debug)]
 pub struct ClosingPhase {
-    /// When the stop began.
-    pub began: Millis,
-    /// The times of this stop.
+    /// When the shutdown began.
+    pub started_at: Millis,
+    /// Deadlines of this shutdown.
     pub options: ShutdownOptions,
 }
 
-/// The listener is closed; what was accepted is served.
+/// The listener is closed; accepted connections are served.
 #[derive(Debug)]
 pub struct DrainingPhase {
-    /// When the stop began.
-    pub began: Millis,
-    /// The times of this stop.
+    /// When the shutdown began.
+    pub started_at: Millis,
+    /// Deadlines of this shutdown.
     pub options: ShutdownOptions,
 }
 
-/// The process ends. Nothing is sent on any more.
+/// The process exits. No request is forwarded any more.
 #[derive(Debug)]
 pub struct EndedPhase;
 
-/// A phase by its name.
+/// Name of a phase.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum PhaseName {
     /// See [`ServingPhase`].
@@ -61,7 +62,7 @@
     Ended,
 }
 
-/// A phase in which callers are taken in.
+/// A phase in which connections are accepted.
 pub trait ListeningPhase {}
 
 impl ListeningPhase for ServingPhase {}
@@ -69,22 +70,22 @@
 impl ListeningPhase for ClosingPhase {}
 
 impl<Phase> CountedPhase<Phase> {
-    /// Connections that are open.
+    /// Returns the number of open connections.
     pub fn connections(&self) -> usize {
         self.connections
     }
 
-    /// What is known in this phase.
+    /// Returns the data of this phase.
     pub fn phase(&self) -> &Phase {
         &self.phase
     }
 
-    /// Counts the end of a connection.
+    /// Counts a closed connection.
     pub fn release(&mut self) {
         self.connections = self.connections.saturating_sub(1);
     }
 
-    fn follow<Next>(self, phase: Next) -> CountedPhase<Next> {
+    fn advance_to<Next>(self, phase: Next) -> CountedPhase<Next> {
         CountedPhase {
             connections: self.connections,
             phase,
@@ -96,7 +97,7 @@
 where
     Phase: ListeningPhase,
 {
-    /// Counts a connection that was accepted.
+    /// Counts an accepted connection.
     pub fn accept(&mut self) {
         self.connections += 1;
     }
@@ -112,34 +113,46 @@
 }
 
 impl CountedPhase<ServingPhase> {
-    /// Begins a stop.
+    /// Begins a shutdown.
     pub fn notify(self, now: Millis, options: ShutdownOptions) -> CountedPhase<NotifiedPhase> {
-        self.follow(NotifiedPhase {
-            began: now,
+        self.advance_to(NotifiedPhase {
+            started_at: now,
             options,
         })
     }
 }
 
 impl CountedPhase<NotifiedPhase> {
-    /// Asks for the listener to be closed.
+    /// Requests that the listener be closed.
     pub fn close(self) -> CountedPhase<ClosingPhase> {
-        let NotifiedPhase { began, options } = self.phase;
-        self.follow(ClosingPhase { began, options })
+        let NotifiedPhase {
+            started_at,
+            options,
+        } = self.phase;
+        self.advance_to(ClosingPhase {
+            started_at,
+            options,
+        })
     }
 }
 
 impl CountedPhase<ClosingPhase> {
-    /// Notes that the listener is closed.
+    /// Records that the listener is closed.
     pub fn drain(self) -> CountedPhase<DrainingPhase> {
-        let ClosingPhase { began, options } = self.phase;
-        self.follow(DrainingPhase { began, options })
+        let ClosingPhase {
+            started_at,
+            options,
+        } = self.phase;
+        self.advance_to(DrainingPhase {
+            started_at,
+            options,
+        })
     }
 }
 
 impl CountedPhase<DrainingPhase> {
     /// Ends the process.
     pub fn end(self) -> CountedPhase<EndedPhase> {
-        self.follow(EndedPhase)
+        self.advance_to(EndedPhase)
     }
 }
--- a/crates/shutdown/src/state.rs
+++ b/crates/shutdown/src/state.rs
@@ -1,4 +1,4 @@
-//! What moves a process from one phase to the next.
+//! The state machine that moves a process from one phase to the next.
 
 use bergamot_types::prelude::*;
 
@@ -7,33 +7,35 @@
     ClosingPhase, CountedPhase, DrainingPhase, EndedPhase, NotifiedPhase, PhaseName, ServingPhase,
 };
 
-/// What befell a process.
+/// An input of [`ShutdownState`].
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ShutdownEvent {
-    /// It was told to stop. Only the first signal counts: a second one neither cuts what is in flight nor gives it longer.
+    /// The stop signal was received. Only the first one counts: a second signal neither cuts
+    /// requests in flight nor extends the shutdown.
     Signalled(ShutdownOptions),
-    /// A caller's connection was accepted. Told before anything is read from it.
+    /// A caller's connection was accepted. Reported before any data is read from it.
     Accepted,
-    /// A connection that was accepted has ended: its last answer has left, or its caller.
+    /// An accepted connection closed, by the caller or after its last answer was sent.
     Released,
-    /// The listener is closed, and all that it had accepted was told.
+    /// The listener is closed, and every connection it accepted was reported.
     ListenerClosed,
     /// Time has passed.
     TimePassed,
 }
 
-/// What the process has to do.
+/// An action for the process to take.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ShutdownAction {
-    /// Tell the balancer and the other duties of the stop.
+    /// Announce the shutdown to the balancer and to the other tasks of the process.
     Announce,
-    /// Accept who waits to be accepted, and close the listener; close the connections whose callers wait for no answer.
+    /// Accept the connections in the backlog, then close the listener and all connections without a
+    /// request in flight.
     CloseListener,
-    /// Close a connection that was accepted too late, unread.
+    /// Close a connection that was accepted too late, without reading from it.
     Reject,
-    /// End the process; so many connections are cut.
+    /// Exit the process.
     Exit {
-        /// Connections that are still open.
+        /// Number of open connections that the exit cuts.
         cut: usize,
     },
 }
@@ -60,7 +62,7 @@
 }
 
 impl ShutdownState {
-    /// Takes in what befell the process, and says what it has to do, in this order.
+    /// Handles an event and returns the actions to take, in order.
     pub fn handle(&mut self, now: Millis, event: ShutdownEvent) -> Vec<ShutdownAction> {
         let mut actions = Vec::new();
         match event {
@@ -74,7 +76,7 @@
         actions
     }
 
-    /// The phase that the process is in.
+    /// Returns the current phase.
     pub fn phase(&self) -> PhaseName {
         match &self.phase {
             CurrentPhase::Serving(_) => PhaseName::Serving,
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Connections of callers that are open.
+    /// Returns the number of open caller connections.
     pub fn connections(&self) -> usize {
         match &self.phase {
             CurrentPhase::Serving(state) => state.connections(),
@@ -96,28 +98,32 @@
         }
     }
 
-    /// When a request that is read now must be over, so that the end of the process cannot cut it. None while every
-    /// request is taken: callers who have not heard of a stop may send requests that outlast its grace.
+    /// Returns the latest end of a request that is read now, so that the exit cannot cut it.
+    /// Returns none while every request is accepted: callers that do not know of the stop may send
+    /// requests that outlast the grace period.
     pub fn answer_deadline(&self, now: Millis) -> Option<Millis> {
         match &self.phase {
             CurrentPhase::Serving(_) => None,
             CurrentPhase::Notified(state) => {
-                let NotifiedPhase { began, options } = state.phase();
-                let is_noticed = now.since(*began) >= options.notice;
-                is_noticed.then(|| *began + options.answer_end)
+                let NotifiedPhase {
+                    started_at,
+                    options,
+                } = state.phase();
+                let has_notice_elapsed = now.since(*started_at) >= options.notice_period;
+                has_notice_elapsed.then(|| *started_at + options.answer_deadline)
             }
             CurrentPhase::Closing(state) => {
-                Some(state.phase().began + state.phase().options.answer_end)
+                Some(state.phase().started_at + state.phase().options.answer_deadline)
             }
             CurrentPhase::Draining(state) => {
-                Some(state.phase().began + state.phase().options.answer_end)
+                Some(state.phase().started_at + state.phase().options.answer_deadline)
             }
             CurrentPhase::Ended(_) => Some(Millis::ZERO),
         }
     }
 
     fn notify(&mut self, now: Millis, options: ShutdownOptions, actions: &mut Vec<ShutdownAction>) {
-        self.replace(|phase| match phase {
+        self.transition(|phase| match phase {
             CurrentPhase::Serving(state) => {
                 actions.push(ShutdownAction::Announce);
                 CurrentPhase::Notified(state.notify(now, options))
@@ -148,32 +154,33 @@
     }
 
     fn drain(&mut self) {
-        self.replace(|phase| match phase {
+        self.transition(|phase| match phase {
             CurrentPhase::Closing(state) => CurrentPhase::Draining(state.drain()),
             other => other,
         });
     }
 
-    /// Moves on as far as the time and the open connections allow.
+    /// Moves to the next phases as far as the time and the open connections allow.
     fn advance(&mut self, now: Millis, actions: &mut Vec<ShutdownAction>) {
-        self.replace(|phase| match phase {
+        self.transition(|phase| match phase {
             CurrentPhase::Notified(state) if may_close(&state, now) => {
                 actions.push(ShutdownAction::CloseListener);
                 CurrentPhase::Closing(state.close())
             }
             other => other,
         });
-        self.replace(|phase| match phase {
-            // The bound on the grace holds also where the listener's end is not told in time.
+        self.transition(|phase| match phase {
+            // Enforces the limit on the grace period even if the listener does not report in time
+            // that it is closed.
             CurrentPhase::Closing(state)
-                if is_over(state.phase().began, state.phase().options, now) =>
+                if has_timed_out(state.phase().started_at, state.phase().options, now) =>
             {
                 CurrentPhase::Draining(state.drain())
             }
             other => other,
         });
-        self.replace(|phase| match phase {
-            CurrentPhase::Draining(state) if may_end(&state, now) => {
+        self.transition(|phase| match phase {
+            CurrentPhase::Draining(state) if may_exit(&state, now) => {
                 let cut = state.connections();
                 actions.push(ShutdownAction::Exit { cut });
                 CurrentPhase::Ended(state.end())
@@ -182,7 +189,7 @@
         });
     }
 
-    fn replace<Step>(&mut self, step: Step)
+    fn transition<Step>(&mut self, step: Step)
     where
         Step: FnOnce(CurrentPhase) -> CurrentPhase,
     {
@@ -191,13 +198,13 @@
 }
 
 fn may_close(state: &CountedPhase<NotifiedPhase>, now: Millis) -> bool {
-    now.since(state.phase().began) >= state.phase().options.notice
+    now.since(state.phase().started_at) >= state.phase().options.notice_period
 }
 
-fn may_end(state: &CountedPhase<DrainingPhase>, now: Millis) -> bool {
-    state.connections() == 0 || is_over(state.phase().began, state.phase().options, now)
+fn may_exit(state: &CountedPhase<DrainingPhase>, now: Millis) -> bool {
+    state.connections() == 0 || has_timed_out(state.phase().started_at, state.phase().options, now)
 }
 
-fn is_over(began: Millis, options: ShutdownOptions, now: Millis) -> bool {
-    now.since(began) >= options.end
+fn has_timed_out(started_at: Millis, options: ShutdownOptions, now: Millis) -> bool {
+    now.since(started_at) >= options.exit_deadline
 }
--- a/crates/shutdown/tests/state.rs
+++ b/crates/shutdown/tests/state.rs
@@ -1,28 +1,28 @@
-//! What a stop does, step by step.
+//! The actions of a shutdown, step by step.
 
 use bergamot_shutdown::ShutdownAction::{Announce, CloseListener, Exit, Reject};
 use bergamot_shutdown::ShutdownEvent::{Accepted, ListenerClosed, Released, Signalled, TimePassed};
 use bergamot_shutdown::{PhaseName, ShutdownAction, ShutdownEvent, ShutdownOptions, ShutdownState};
 use bergamot_types::prelude::*;
 
-/// The times of all cases.
+/// The deadlines used by all cases.
 const OPTIONS: ShutdownOptions = ShutdownOptions {
-    notice: Millis(2_600),
-    end: Millis(7_500),
-    answer_end: Millis(7_400),
+    notice_period: Millis(2_600),
+    exit_deadline: Millis(7_500),
+    answer_deadline: Millis(7_400),
 };
 const SIGNAL: ShutdownEvent = Signalled(OPTIONS);
 
-struct StopCase {
+struct ShutdownCase {
     name: &'static str,
-    /// When something happens, what, and what has to be done then.
+    /// The time, event and expected actions of each step.
     steps: &'static [(u64, ShutdownEvent, &'static [ShutdownAction])],
     phase: PhaseName,
 }
 
-const CASES: [StopCase; 10] = [
-    StopCase {
-        name: "nobody is there: the listener is closed before the process ends",
+const CASES: [ShutdownCase; 10] = [
+    ShutdownCase {
+        name: "no connections: the listener closes before the process exits",
         steps: &[
             (0, SIGNAL, &[Announce]),
             (2_599, TimePassed, &[]),
@@ -31,8 +31,8 @@
         ],
         phase: PhaseName::Ended,
     },
-    StopCase {
-        name: "a caller who waits to be accepted while the listener is closed is served",
+    ShutdownCase {
+        name: "a caller in the backlog of the closing listener is served",
         steps: &[
             (0, SIGNAL, &[Announce]),
             (2_600, TimePassed, &[CloseListener]),
@@ -43,8 +43,8 @@
         ],
         phase: PhaseName::Ended,
     },
-    StopCase {
-        name: "a caller who comes as the last one leaves is waited for",
+    ShutdownCase {
+        name: "a caller that connects as the last one disconnects is served",
         steps: &[
             (0, SIGNAL, &[Announce]),
             (10, Accepted, &[]),
@@ -57,8 +57,8 @@
         ],
         phase: PhaseName::Ended,
     },
-    StopCase {
-        name: "without a word from the listener the process goes on",
+    ShutdownCase {
+        name: "the process keeps running until the listener is closed",
         steps: &[
             (0, SIGNAL, &[Announce]),
             (2_600, TimePassed, &[CloseListener]),
@@ -66,8 +66,8 @@
         ],
         phase: PhaseName::Closing,
     },
-    StopCase {
-        name: "but not past its grace",
+    ShutdownCase {
+        name: "the process exits at its deadline even if the listener is not closed",
         steps: &[
             (0, SIGNAL, &[Announce]),
             (2_600, TimePassed, &[CloseListener]),
@@ -76,8 +76,8 @@
         ],
         phase: PhaseName::Ended,
     },
-    StopCase {
-        name: "a second signal changes nothing",
+    ShutdownCase {
+        name: "repeated signals change nothing",
         steps: &[
             (0, Accepted, &[]),
             (0, SIGNAL, &[Announce]),
@@ -89,8 +89,8 @@
         ],
         phase: PhaseName::Ended,
     },
-    StopCase {
-        name: "suspended past the end of the grace, the process misses no phase",
+    ShutdownCase {
+        name: "a process suspended past the grace period skips no phase",
         steps: &[
             (0, Accepted, &[]),
             (0, SIGNAL, &[Announce]),
@@ -98,8 +98,8 @@
         ],
         phase: PhaseName::Ended,
     },
-    StopCase {
-        name: "a connection that comes after the listener is closed is not read",
+    ShutdownCase {
+        name: "a connection accepted after the listener closed is not read",
         steps: &[
             (0, SIGNAL, &[Announce]),
             (0, Accepted, &[]),
@@ -111,8 +111,8 @@
         ],
         phase: PhaseName::Ended,
     },
-    StopCase {
-        name: "no stop: connections come and go",
+    ShutdownCase {
+        name: "no shutdown: connections open and close",
         steps: &[
             (0, Accepted, &[]),
             (10, Released, &[]),
@@ -121,8 +121,8 @@
         ],
         phase: PhaseName::Serving,
     },
-    StopCase {
-        name: "a connection that is open since before the signal is waited for",
+    ShutdownCase {
+        name: "a connection opened before the signal is served",
         steps: &[
             (0, Accepted, &[]),
             (100, SIGNAL, &[Announce]),
@@ -136,7 +136,7 @@
 ];
 
 #[test]
-fn a_stop_ends_after_its_listener_and_within_its_grace() {
+fn a_shutdown_exits_after_its_listener_closed_and_within_the_grace_period() {
     for case in CASES {
         let mut state = ShutdownState::default();
         for (at, event, expected) in case.steps {
@@ -151,27 +151,27 @@
     name: &'static str,
     steps: &'static [(u64, ShutdownEvent)],
     at: u64,
-    end: Option<u64>,
+    expected: Option<u64>,
 }
 
 const ANSWER_CASES: [AnswerCase; 5] = [
     AnswerCase {
-        name: "no stop",
+        name: "no shutdown",
         steps: &[],
         at: 9_000,
-        end: None,
+        expected: None,
     },
     AnswerCase {
-        name: "callers have not heard of it",
+        name: "within the notice period",
         steps: &[(1_000, SIGNAL)],
         at: 3_599,
-        end: None,
+        expected: None,
     },
     AnswerCase {
-        name: "callers have heard of it",
+        name: "after the notice period",
         steps: &[(1_000, SIGNAL)],
         at: 3_600,
-        end: Some(8_400),
+        expected: Some(8_400),
     },
     AnswerCase {
         name: "the listener is closed",
@@ -182,56 +182,66 @@
             (3_601, ListenerClosed),
         ],
         at: 8_010,
-        end: Some(8_400),
+        expected: Some(8_400),
     },
     AnswerCase {
-        name: "the process ends: nothing is taken",
+        name: "after the exit no request is accepted",
         steps: &[(1_000, Accepted), (1_000, SIGNAL), (8_500, TimePassed)],
         at: 8_500,
-        end: Some(0),
+        expected: Some(0),
     },
 ];
 
 #[test]
-fn a_request_is_taken_that_is_over_in_time() {
+fn requests_read_after_the_notice_period_have_a_deadline() {
     for case in ANSWER_CASES {
         let mut state = ShutdownState::default();
         for (at, event) in case.steps {
             state.handle(Millis(*at), *event);
         }
-        let end = state.answer_deadline(Millis(case.at));
-        assert_eq!(end, case.end.map(Millis), "{}", case.name);
+        let deadline = state.answer_deadline(Millis(case.at));
+        assert_eq!(deadline, case.expected.map(Millis), "{}", case.name);
     }
 }
 
 struct GraceCase {
     grace: u64,
-    notice: u64,
-    end: u64,
+    notice_period: u64,
+    exit_deadline: u64,
 }
 
 #[test]
-fn the_times_of_a_stop_fit_into_its_grace() {
+fn the_deadlines_fit_into_the_grace_period() {
     let cases = [
         GraceCase {
             grace: 8_000,
-            notice: 2_600,
-            end: 7_500,
+            notice_period: 2_600,
+            exit_deadline: 7_500,
         },
         GraceCase {
             grace: 3_000,
-            notice: 1_500,
-            end: 2_500,
+            notice_period: 1_500,
+            exit_deadline: 2_500,
         },
         GraceCase {
             grace: 300,
-            notice: 150,
-            end: 250,
+            notice_period: 150,
+            exit_deadline: 250,
         },
     ];
     for case in cases {
         let options = ShutdownOptions::within(Millis(case.grace));
-        assert_eq!(options.notice, Millis(case.notice), "{}", case.grace);
-        assert_eq!(options.end, Millis(case.end), "{}", case.grace);
+        assert_eq!(
+            options.notice_period,
+            Millis(case.notice_period),
+            "{}",
+            case.grace
+        );
+        assert_eq!(
+            options.exit_deadline,
+            Millis(case.exit_deadline),
+            "{}",
+            case.grace
+        );
     }
 }
