--- a/crates/quota/src/allowance.rs
+++ b/crates/quota/src/allowance.rs
@@ -1,4 +1,4 @@
-//! What the owner of an upstream's quota gives out.
+//! Grants the permits of one upstream, on the VM that owns its quota.
 
 use std::collections::VecDeque;
 
@@ -7,120 +7,131 @@
 use crate::bucket::TokenBucket;
 use crate::message::{PermitClaim, PermitVerdict};
 
-/// The lowest rate that is given out, in requests a second. An upstream that takes none says nothing either: now and then one
-/// request finds out whether it takes some again.
-const LEAST_RATE: f64 = 0.1;
-/// Time after the moment that it was told for which a request's place is kept: a caller who was told to come back does not
-/// come back at that very moment.
-const PLACE_TIME: Millis = Millis(300);
-/// Places that are kept at most.
-const MAX_PLACES: usize = 256;
-/// Time for which a permit counts against its client account in the order of the next ones.
-const SHARE_TIME: Millis = Millis(4_000);
-/// The longest time that is told: the limit may be raised or end meanwhile, and a VM that waits does not hear of it by itself.
+/// Lowest rate at which permits are granted, in requests per second. An upstream that accepts no
+/// requests cannot advertise a new limit either, so an occasional request checks whether it accepts
+/// them again.
+const MIN_RATE: f64 = 0.1;
+/// How long a deferred request keeps its position after the time at which it may ask again, as a
+/// caller does not return at that exact moment.
+const POSITION_RETENTION: Millis = Millis(300);
+/// Maximum number of positions.
+const MAX_POSITIONS: usize = 256;
+/// How long a permit counts against its client account when the next ones are ordered.
+const SHARE_WINDOW: Millis = Millis(4_000);
+/// Longest wait that a verdict states. The limit may be raised or withdrawn meanwhile, and a
+/// waiting VM is not told.
 const MAX_WAIT: Millis = Millis(2_000);
 
-/// A request that was turned away, and when another may be sent for it.
+/// A deferred request and the time at which it may be sent.
 #[derive(Clone, Copy, Debug)]
-struct WaitingPlace {
+struct DeferredRequest {
     claim: PermitClaim,
-    due: Millis,
+    due_at: Millis,
 }
 
 /// The permits of one upstream.
 ///
-/// In any span of T seconds it gives out at most T times the limit, and the larger of one second's worth and one.
+/// Any span of T seconds yields at most T times the limit, plus one second's worth or one permit,
+/// whichever is larger.
 #[derive(Clone, Debug)]
 pub struct SendAllowance {
     bucket: TokenBucket,
-    /// No permit is given before.
+    /// No permit is granted before this time.
     opens_at: Millis,
-    waiting: Vec<WaitingPlace>,
-    /// Permits given lately, by the account that got them.
-    given: VecDeque<(Millis, u32)>,
+    deferred: Vec<DeferredRequest>,
+    /// Recent permits, with the account that received each.
+    recent_permits: VecDeque<(Millis, u32)>,
 }
 
 impl SendAllowance {
-    /// An allowance that gives nothing before `opens_at`, and has saved nothing up by then.
+    /// Creates an allowance that grants nothing before `opens_at` and starts without saved permits.
     pub fn new(rate: SendRate, opens_at: Millis) -> Self {
         Self {
-            bucket: TokenBucket::empty(dealt_rate(rate), opens_at),
+            bucket: TokenBucket::empty(effective_rate(rate), opens_at),
             opens_at,
-            waiting: Vec::new(),
-            given: VecDeque::new(),
+            deferred: Vec::new(),
+            recent_permits: VecDeque::new(),
         }
     }
 
-    /// Gives a permit, or says when to ask again. More urgent requests that were turned away go first, and among those
-    /// alike the account that got fewer.
-    pub fn ask(&mut self, now: Millis, rate: SendRate, claim: PermitClaim) -> PermitVerdict {
-        self.waiting.retain(|place| place.due + PLACE_TIME > now);
+    /// Grants a permit or states when to ask again. Deferred requests with a more urgent priority
+    /// go first, and among equal priorities the account with fewer recent permits.
+    pub fn request_permit(
+        &mut self,
+        now: Millis,
+        rate: SendRate,
+        claim: PermitClaim,
+    ) -> PermitVerdict {
+        self.deferred
+            .retain(|deferred| deferred.due_at + POSITION_RETENTION > now);
         while self
-            .given
+            .recent_permits
             .front()
-            .is_some_and(|(at, _)| now.since(*at) > SHARE_TIME)
+            .is_some_and(|(at, _)| now.since(*at) > SHARE_WINDOW)
         {
-            self.given.pop_front();
+            self.recent_permits.pop_front();
         }
         if now < self.opens_at {
-            return self.turn_away(now, claim, self.opens_at.since(now));
+            return self.defer(now, claim, self.opens_at.since(now));
         }
-        self.bucket.set_rate(now, dealt_rate(rate));
-        let reserve = self.count_ahead(claim, |place| place.due <= now);
-        if self.bucket.take_above(now, reserve as f64) {
-            self.given.push_back((now, claim.account));
-            self.leave_place(claim);
+        self.bucket.set_rate(now, effective_rate(rate));
+        let reserve = self.count_ahead(claim, |deferred| deferred.due_at <= now);
+        if self.bucket.take_above_reserve(now, reserve as f64) {
+            self.recent_permits.push_back((now, claim.account));
+            self.remove_position(claim);
             return PermitVerdict::Granted;
         }
-        let ahead = self.waiting.len() - self.count_behind(claim);
+        let ahead = self.deferred.len() - self.count_behind(claim);
         let wait = self.bucket.wait_for((ahead + 1) as f64);
-        self.turn_away(now, claim, wait)
+        self.defer(now, claim, wait)
     }
 
-    /// Requests that go before this one and meet the condition.
-    fn count_ahead<Condition>(&self, claim: PermitClaim, holds: Condition) -> usize
+    /// Returns the number of deferred requests that go before this one and meet the condition.
+    fn count_ahead<Condition>(&self, claim: PermitClaim, is_counted: Condition) -> usize
     where
-        Condition: Fn(&WaitingPlace) -> bool,
+        Condition: Fn(&DeferredRequest) -> bool,
     {
-        let own = self.order(claim);
-        let ahead = self.waiting.iter();
+        let own_order = self.order_key(claim);
+        let ahead = self.deferred.iter();
         ahead
-            .filter(|place| holds(place) && self.order(place.claim) < own)
+            .filter(|deferred| is_counted(deferred) && self.order_key(deferred.claim) < own_order)
             .count()
     }
 
-    /// Requests that go after this one.
+    /// Returns the number of deferred requests that go after this one.
     fn count_behind(&self, claim: PermitClaim) -> usize {
-        let own = self.order(claim);
-        let behind = self.waiting.iter();
-        behind.filter(|place| self.order(place.claim) > own).count()
+        let own_order = self.order_key(claim);
+        let behind = self.deferred.iter();
+        behind
+            .filter(|deferred| self.order_key(deferred.claim) > own_order)
+            .count()
     }
 
-    fn order(&self, claim: PermitClaim) -> (u8, usize) {
-        let given = self.given.iter();
-        let given = given.filter(|(_, account)| *account == claim.account);
-        (claim.priority, given.count())
+    fn order_key(&self, claim: PermitClaim) -> (u8, usize) {
+        let permits = self.recent_permits.iter();
+        let permits = permits.filter(|(_, account)| *account == claim.account);
+        (claim.priority, permits.count())
     }
 
-    /// Takes the place away that a request with this claim was given first.
-    fn leave_place(&mut self, claim: PermitClaim) {
-        let places = self.waiting.iter().enumerate();
-        let own = places.filter(|(_, place)| place.claim == claim);
-        if let Some((index, _)) = own.min_by_key(|(_, place)| place.due) {
-            self.waiting.swap_remove(index);
+    /// Removes the earliest position of a request with this claim.
+    fn remove_position(&mut self, claim: PermitClaim) {
+        let positions = self.deferred.iter().enumerate();
+        let own_positions = positions.filter(|(_, deferred)| deferred.claim == claim);
+        if let Some((index, _)) = own_positions.min_by_key(|(_, deferred)| deferred.due_at) {
+            self.deferred.swap_remove(index);
         }
     }
 
-    fn turn_away(&mut self, now: Millis, claim: PermitClaim, wait: Millis) -> PermitVerdict {
+    fn defer(&mut self, now: Millis, claim: PermitClaim, wait: Millis) -> PermitVerdict {
         let wait = wait.min(MAX_WAIT);
-        if self.waiting.len() < MAX_PLACES {
-            let due = now + wait;
-            self.waiting.push(WaitingPlace { claim, due });
+        if self.deferred.len() < MAX_POSITIONS {
+            let due_at = now + wait;
+            self.deferred.push(DeferredRequest { claim, due_at });
         }
         PermitVerdict::Later(wait)
     }
 }
 
-fn dealt_rate(rate: SendRate) -> f64 {
-    rate.per_second().max(LEAST_RATE)
+fn effective_rate(rate: SendRate) -> f64 {
+    rate.per_second().max(MIN_RATE)
 }
--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -1,17 +1,17 @@
-//! A rate limit.
+//! A token bucket.
 
 use bergamot_types::Millis;
 
-/// Tokens that refill with time, up to one second's worth or one whole token.
+/// Tokens that refill over time, up to one second's worth or one whole token.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TokenBucket {
     rate: f64,
     tokens: f64,
-    filled_at: Millis,
+    refilled_at: Millis,
 }
 
 impl TokenBucket {
-    /// A bucket of `rate` tokens per second, full.
+    /// Creates a full bucket that gains `rate` tokens per second.
     pub fn new(rate: f64, now: Millis) -> Self {
         Self {
             tokens: rate.max(1.0),
@@ -19,30 +19,30 @@
         }
     }
 
-    /// The same without a token yet.
+    /// Creates an empty bucket that gains `rate` tokens per second.
     pub const fn empty(rate: f64, now: Millis) -> Self {
         Self {
             rate,
             tokens: 0.0,
-            filled_at: now,
+            refilled_at: now,
         }
     }
 
-    /// Changes the rate from now on. What was saved up is cut to the new rate's most.
+    /// Changes the rate from now on. Saved tokens above the new capacity are dropped.
     pub fn set_rate(&mut self, now: Millis, rate: f64) {
-        self.fill(now);
+        self.refill(now);
         self.rate = rate;
-        self.tokens = self.tokens.min(self.most());
+        self.tokens = self.tokens.min(self.capacity());
     }
 
     /// Takes one token if there is one.
     pub fn take(&mut self, now: Millis) -> bool {
-        self.take_above(now, 0.0)
+        self.take_above_reserve(now, 0.0)
     }
 
-    /// Takes one token if `reserve` are left after it.
-    pub fn take_above(&mut self, now: Millis, reserve: f64) -> bool {
-        self.fill(now);
+    /// Takes one token if at least `reserve` tokens remain.
+    pub fn take_above_reserve(&mut self, now: Millis, reserve: f64) -> bool {
+        self.refill(now);
         if self.tokens < 1.0 + reserve {
             return false;
         }
@@ -50,25 +50,25 @@
         true
     }
 
-    /// Time until the next token.
+    /// Returns the time until the next token.
     pub fn wait(&self) -> Millis {
         self.wait_for(1.0)
     }
 
-    /// Time until so many tokens have come in all, as of the last fill.
+    /// Returns the time until the bucket holds this many tokens, as of the last refill.
     pub fn wait_for(&self, tokens: f64) -> Millis {
-        let lacking = (tokens - self.tokens).max(0.0);
-        let seconds = lacking / self.rate.max(1e-6);
+        let missing = (tokens - self.tokens).max(0.0);
+        let seconds = missing / self.rate.max(1e-6);
         Millis((seconds * 1_000.0).ceil().min(3_600_000.0) as u64)
     }
 
-    fn most(&self) -> f64 {
+    fn capacity(&self) -> f64 {
         self.rate.max(1.0)
     }
 
-    fn fill(&mut self, now: Millis) {
-        let earned = now.since(self.filled_at).as_secs_f64() * self.rate;
-        self.tokens = (self.tokens + earned).min(self.most());
-        self.filled_at = self.filled_at.max(now);
+    fn refill(&mut self, now: Millis) {
+        let refilled = now.since(self.refilled_at).as_secs_f64() * self.rate;
+        self.tokens = (self.tokens + refilled).min(self.capacity());
+        self.refilled_at = self.refilled_at.max(now);
     }
 }
--- a/crates/quota/src/fleet.rs
+++ b/crates/quota/src/fleet.rs
@@ -1,47 +1,49 @@
-//! Which VM owns the quota of which upstream.
+//! Determines which VM owns the quota of which upstream.
 
 use bergamot_types::prelude::*;
 use indexmap::IndexMap;
 
-/// Time for which another VM may still go by an earlier list of entry VMs: two questions to peers and the age of their news.
-pub(crate) const LIST_LAG: Millis = Millis(2_000);
+/// How long another VM may still use an earlier list of entry VMs: two queries to peers, plus the
+/// age of their updates.
+pub(crate) const STALE_LIST_TIMEOUT: Millis = Millis(2_000);
 
-/// The entry VMs as of some moment.
+/// The entry VMs of each failure domain.
 type VmsByDomain = IndexMap<FailureDomain, Vec<String>>;
 
-/// A list of entry VMs that no longer holds.
+/// A list of entry VMs that was replaced.
 #[derive(Clone, Debug)]
-struct PastList {
+struct ReplacedList {
     vms: VmsByDomain,
-    ended_at: Millis,
+    replaced_at: Millis,
 }
 
-/// The entry VMs, and who owns what among them.
+/// The entry VMs, among which the owner of each quota is chosen.
 #[derive(Clone, Debug)]
 pub struct QuotaFleet {
-    own: String,
+    own_vm: String,
     vms: VmsByDomain,
-    /// Lists that others may still go by. The first one is empty: nobody knows who owned what before this VM started.
-    past: Vec<PastList>,
+    /// Lists that other VMs may still use. The first one is empty: the owners before this VM
+    /// started are unknown.
+    replaced: Vec<ReplacedList>,
 }
 
 impl QuotaFleet {
-    /// The fleet as the VM of this name knows it: no other yet, nor itself.
-    pub fn new(own: String) -> Self {
+    /// Creates the fleet as known to the VM named `own`: empty, even without itself.
+    pub fn new(own_vm: String) -> Self {
         Self {
-            own,
+            own_vm,
             vms: VmsByDomain::new(),
-            past: Vec::new(),
+            replaced: Vec::new(),
         }
     }
 
-    /// This VM's name.
-    pub fn own(&self) -> &str {
-        &self.own
+    /// Returns the name of this VM.
+    pub fn own_vm(&self) -> &str {
+        &self.own_vm
     }
 
-    /// Takes over which entry VMs there are.
-    pub fn set<Vms>(&mut self, now: Millis, vms: Vms)
+    /// Replaces the list of entry VMs.
+    pub fn set_vms<Vms>(&mut self, now: Millis, vms: Vms)
     where
         Vms: IntoIterator<Item = (FailureDomain, String)>,
     {
@@ -51,16 +53,21 @@
         }
         by_domain.values_mut().for_each(|vms| vms.sort_unstable());
         by_domain.sort_unstable_keys();
-        self.past.retain(|list| now.since(list.ended_at) < LIST_LAG);
+        self.replaced
+            .retain(|list| now.since(list.replaced_at) < STALE_LIST_TIMEOUT);
         if by_domain == self.vms {
             return;
         }
         let vms = std::mem::replace(&mut self.vms, by_domain);
-        self.past.push(PastList { vms, ended_at: now });
+        self.replaced.push(ReplacedList {
+            vms,
+            replaced_at: now,
+        });
     }
 
-    /// The VM that owns an upstream's quota: one of its own failure domain, as who reaches the upstream then reaches the
-    /// owner too. Any VM where that has none; none where no VM is known.
+    /// Returns the VM that owns an upstream's quota. It is in the upstream's failure domain, so
+    /// that whoever reaches the upstream also reaches the owner. If the domain has no VM, any VM
+    /// may own the quota; if no VM is known, none does.
     pub fn owner(
         &self,
         incarnation: &UpstreamIncarnation,
@@ -69,19 +76,19 @@
         owner_among(&self.vms, incarnation, failure_domain)
     }
 
-    /// From when on this VM may give permits out that owns an upstream's quota now: once no other VM can go by an earlier list
-    /// any more by which another one owns it.
-    pub fn owns_from(
+    /// Returns when this VM, as the owner of an upstream's quota, may start to grant permits: once
+    /// no other VM can still use an earlier list that names another owner.
+    pub fn grants_from(
         &self,
         incarnation: &UpstreamIncarnation,
         failure_domain: &FailureDomain,
     ) -> Millis {
-        let foreign = self.past.iter().filter(|list| {
+        let other_owned = self.replaced.iter().filter(|list| {
             let owner = owner_among(&list.vms, incarnation, failure_domain);
-            owner != Some(self.own.as_str())
+            owner != Some(self.own_vm.as_str())
         });
-        let ended = foreign.map(|list| list.ended_at).max();
-        ended.map_or(Millis::ZERO, |at| at + LIST_LAG)
+        let last_replaced_at = other_owned.map(|list| list.replaced_at).max();
+        last_replaced_at.map_or(Millis::ZERO, |replaced_at| replaced_at + STALE_LIST_TIMEOUT)
     }
 }
 
@@ -91,13 +98,13 @@
     failure_domain: &FailureDomain,
 ) -> Option<&'a str> {
     let key = hash_bytes(incarnation.as_str().as_bytes());
-    let best = |vms: &'a [String]| {
+    let highest_scored = |vms: &'a [String]| {
         let names = vms.iter().map(String::as_str);
         names.max_by_key(|vm| (rendezvous_score(key, vm), *vm))
     };
-    let near = vms.get(failure_domain).and_then(|vms| best(vms));
-    near.or_else(|| {
-        let all = vms.values().flatten().map(String::as_str);
-        all.max_by_key(|vm| (rendezvous_score(key, vm), *vm))
+    let in_domain = vms.get(failure_domain).and_then(|vms| highest_scored(vms));
+    in_domain.or_else(|| {
+        let all_vms = vms.values().flatten().map(String::as_str);
+        all_vms.max_by_key(|vm| (rendezvous_score(key, vm), *vm))
     })
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,19 +1,20 @@
-//! How many requests all entry VMs together send to an upstream that advertises a limit.
+//! Enforces the limits that upstreams advertise on the requests that all entry VMs send together.
 //!
-//! Each such upstream has an owner among the entry VMs, drawn by rendezvous. Before a request is sent there its VM asks the
-//! owner for a permit; without an answer nothing is sent. So the sum over all VMs is kept at one place, whatever the others
-//! have heard, and a VM that reaches no owner sends nothing.
+//! Rendezvous hashing assigns each such upstream an owner among the entry VMs. Before a VM sends a
+//! request to the upstream, it asks the owner for a permit; without an answer it sends nothing. So
+//! a single VM enforces the total, whatever the others know, and a VM that cannot reach the owner
+//! sends nothing.
 //!
-//! | module | what it knows |
+//! | module | responsibility |
 //! | --- | --- |
-//! | [`limit`] | which limits upstreams advertise, and which of two words holds |
-//! | [`message`] | what VMs tell and ask each other |
-//! | [`fleet`] | which VM owns which quota, and from when on |
-//! | [`allowance`] | the permits of one upstream, and in which order requests get them |
-//! | [`state`] | all of it for one VM |
-//! | [`bucket`] | a rate limit |
+//! | [`limit`] | the limits that upstreams advertise, and which of two observations is in force |
+//! | [`message`] | the messages between VMs |
+//! | [`fleet`] | which VM owns which quota, and from when on it may grant permits |
+//! | [`allowance`] | the permits of one upstream, and the order in which requests get them |
+//! | [`state`] | the state of one VM, which combines the above |
+//! | [`bucket`] | a token bucket |
 //!
-//! Decisions only: no sockets and no clock.
+//! The crate only makes decisions: it uses no sockets and no clock.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/quota/src/limit.rs
+++ b/crates/quota/src/limit.rs
@@ -1,29 +1,31 @@
-//! What upstreams say of how much they take.
+//! Records the limits that upstreams advertise.
 
 use bergamot_types::prelude::*;
 use indexmap::IndexMap;
 
-/// Time for which a limit is kept after the directory last named its upstream: one that was cut off from the directory comes back
-/// in the same run, and all VMs would send to it at once.
-const KEPT_TIME: Millis = Millis::from_secs(600);
+/// How long a limit is kept after the directory last listed its upstream. An upstream that loses
+/// the directory returns as the same incarnation, and without its limit all VMs would send to it at
+/// once.
+const LIMIT_RETENTION: Millis = Millis::from_secs(600);
 
-/// An upstream's report on its limit, and when it held.
+/// A limit that an upstream advertised, and the span of time in which it did.
 ///
-/// The upstream made its answer at some moment between the send and the arrival. Answers on different connections overtake
-/// each other, so only words whose spans do not overlap have a known order.
+/// The upstream produced the answer at some moment between the send and the arrival. Answers on
+/// different connections overtake each other, so only observations with disjoint spans have a known
+/// order.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct LimitObservation {
-    /// Requests that it takes from all entry VMs together; none where it advertises no limit.
+    /// Rate the upstream accepts from all entry VMs together; none if it advertises no limit.
     pub rate: Option<SendRate>,
-    /// When the request was sent whose answer said so.
+    /// When the request was sent whose answer carried the limit.
     pub sent_at: Millis,
-    /// When that answer came.
+    /// When that answer was received.
     pub received_at: Millis,
 }
 
 impl LimitObservation {
-    /// What holds after `next` was seen as well. Where their order is not known it is the lower limit, which the next answer
-    /// corrects.
+    /// Returns the observation in force after `next` was made as well. If their order is unknown,
+    /// the lower limit is in force, and the next answer corrects it.
     fn followed_by(self, next: Self) -> Self {
         if next.sent_at >= self.received_at {
             return next;
@@ -34,8 +36,8 @@
         match (self.rate, next.rate) {
             (None, Some(_)) => next,
             (Some(_), None) => self,
-            (Some(known), Some(named)) if named < known => next,
-            (Some(known), Some(named)) if named > known => self,
+            (Some(current), Some(advertised)) if advertised < current => next,
+            (Some(current), Some(advertised)) if advertised > current => self,
             _ => Self {
                 rate: self.rate,
                 sent_at: self.sent_at.max(next.sent_at),
@@ -45,40 +47,41 @@
     }
 }
 
-/// What a observation changed.
+/// How an observation changed a limit.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum LimitChange {
-    /// The upstream takes so many requests from now on.
+    /// The upstream now advertises this limit.
     Advertised(SendRate),
-    /// It advertises no limit any more.
+    /// The upstream no longer advertises a limit.
     Withdrawn,
 }
 
-/// What is known of one upstream.
+/// The limit of one upstream.
 #[derive(Clone, Copy, Debug)]
 struct KnownLimit {
     observation: LimitObservation,
-    /// When the directory last named it, as far as was looked.
+    /// When the directory was last seen to list the upstream.
     listed_at: Millis,
 }
 
-/// The limits that upstreams advertise, by their runs: a later run of an upstream has none until it names one.
+/// The limits that upstreams advertise, by incarnation. A new incarnation has no limit until it
+/// advertises one.
 #[derive(Debug, Default)]
 pub struct LimitTable {
     observations: IndexMap<UpstreamIncarnation, KnownLimit>,
-    /// Upstreams whose last report could not be read, and why.
-    unreadable: IndexMap<UpstreamIncarnation, RateError>,
+    /// Upstreams whose last advertised limit was malformed, with the error.
+    malformed: IndexMap<UpstreamIncarnation, RateError>,
 }
 
 impl LimitTable {
-    /// The limit that holds for an upstream.
+    /// Returns the limit in force for an upstream.
     pub fn rate(&self, incarnation: &UpstreamIncarnation) -> Option<SendRate> {
         self.observations
             .get(incarnation)
             .and_then(|known| known.observation.rate)
     }
 
-    /// The same with the report that it comes from.
+    /// Returns the limit in force for an upstream and the observation it comes from.
     pub(crate) fn limit(
         &self,
         incarnation: &UpstreamIncarnation,
@@ -87,8 +90,9 @@
         observation.rate.map(|rate| (observation, rate))
     }
 
-    /// Takes in what an upstream said. Costs nothing for the many that never advertised a limit.
-    pub fn note(
+    /// Records an observation and returns the resulting change. Allocates nothing for the many
+    /// upstreams that never advertised a limit.
+    pub fn record(
         &mut self,
         incarnation: &UpstreamIncarnation,
         observation: LimitObservation,
@@ -105,26 +109,26 @@
             );
             return Some(LimitChange::Advertised(rate));
         };
-        let before = known.observation.rate;
+        let previous_rate = known.observation.rate;
         known.observation = known.observation.followed_by(observation);
         match known.observation.rate {
-            rate if rate == before => None,
+            rate if rate == previous_rate => None,
             Some(rate) => Some(LimitChange::Advertised(rate)),
             None => Some(LimitChange::Withdrawn),
         }
     }
 
-    /// Notes a report that could not be read: the one before it holds. Says whether that is to be logged, which it is once for
-    /// each run and reason.
+    /// Records a malformed limit; the previous one stays in force. Returns whether to log the
+    /// error, which happens once per incarnation and reason.
     pub fn record_malformed(
         &mut self,
         incarnation: &UpstreamIncarnation,
         error: RateError,
     ) -> bool {
-        self.unreadable.insert(incarnation.clone(), error) != Some(error)
+        self.malformed.insert(incarnation.clone(), error) != Some(error)
     }
 
-    /// Upstreams that advertise a limit now.
+    /// Returns the number of upstreams that advertise a limit.
     pub fn len(&self) -> usize {
         let limited = self.observations.values();
         let limited = limited.filter(|known| known.observation.rate.is_some());
@@ -136,7 +140,7 @@
         self.len() == 0
     }
 
-    /// Forgets the upstreams that the directory has not named for long.
+    /// Drops the limits of upstreams that the directory has not listed for a long time.
     pub fn retain<Keep>(&mut self, is_listed: Keep, now: Millis)
     where
         Keep: Fn(&UpstreamIncarnation) -> bool,
@@ -145,9 +149,9 @@
             if is_listed(incarnation) {
                 known.listed_at = now;
             }
-            now.since(known.listed_at) < KEPT_TIME
+            now.since(known.listed_at) < LIMIT_RETENTION
         });
-        self.unreadable
+        self.malformed
             .retain(|incarnation, _| is_listed(incarnation));
     }
 }
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -1,31 +1,32 @@
-//! What entry VMs tell and ask each other about limits.
+//! Messages between entry VMs about limits and permits.
 
 use bergamot_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
 use crate::limit::LimitObservation;
 
-/// Time that a message between entry VMs takes at most as a rule: three datagrams, each through a process on an eighth of a core.
-/// One that takes longer may end a limit too early, until the next answer names it again.
-const NEWS_TIME: Millis = Millis(100);
+/// Upper bound on the usual delay of a message between entry VMs: three datagrams, each through a
+/// process with an eighth of a core. A slower message may withdraw a limit too early, until the
+/// next answer advertises it again.
+const MAX_TRANSIT: Millis = Millis(100);
 
-/// What one VM heard of an upstream's limit. Moments are told as ages, as VMs share no clock.
+/// An upstream's limit as one VM observed it. Times are sent as ages, as VMs share no clock.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct LimitReport {
     /// The upstream.
     pub incarnation: UpstreamIncarnation,
-    /// Where it is.
+    /// The upstream's failure domain.
     pub failure_domain: FailureDomain,
-    /// Its limit; none where it advertises none any more.
+    /// The limit; none if the upstream no longer advertises one.
     pub rate: Option<SendRate>,
-    /// Time since the request was sent whose answer said so.
+    /// Time since the request was sent whose answer carried the limit.
     pub sent_age: Millis,
-    /// Time since that answer came.
+    /// Time since that answer was received.
     pub received_age: Millis,
 }
 
 impl LimitReport {
-    /// The report as of `now`.
+    /// Creates the report of an observation as of `now`.
     pub(crate) fn of(
         incarnation: &UpstreamIncarnation,
         failure_domain: &FailureDomain,
@@ -41,23 +42,23 @@
         }
     }
 
-    /// The observation by the clock of the VM that it has come to. The time on the way is not known, so the span is the longest
-    /// that it may have been.
+    /// Converts the report to an observation on the clock of the receiving VM. The transit time is
+    /// unknown, so the span is the longest possible one.
     pub(crate) fn observation(&self, now: Millis) -> LimitObservation {
         LimitObservation {
             rate: self.rate,
-            sent_at: now.since(self.sent_age + NEWS_TIME),
+            sent_at: now.since(self.sent_age + MAX_TRANSIT),
             received_at: now.since(self.received_age),
         }
     }
 }
 
-/// Whose request is to be sent, for the order in which VMs get permits.
+/// Identifies whose request is to be sent, which determines the order of permits.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct PermitClaim {
-    /// 0 is the most urgent.
+    /// Priority of the request; 0 is the most urgent.
     pub priority: u8,
-    /// The short name of the client account.
+    /// 32-bit hash of the client account's name.
     pub account: u32,
 }
 
@@ -66,30 +67,30 @@
 pub struct PermitQuestion {
     /// The VM that asks.
     pub vm: String,
-    /// Tells its questions apart.
+    /// Identifies the question among those of this VM.
     pub number: u64,
-    /// The limit as it knows it, for an owner that has not heard of it.
+    /// The limit as the asking VM knows it, in case the owner does not know it.
     pub report: LimitReport,
     /// Whose request it is.
     pub claim: PermitClaim,
 }
 
-/// The owner's answer.
+/// The owner's answer to a [`PermitQuestion`].
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct PermitAnswer {
-    /// The question's number.
+    /// The number of the question.
     pub number: u64,
-    /// What may be done.
+    /// The owner's decision.
     pub verdict: PermitVerdict,
 }
 
 /// Whether a request may be sent.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum PermitVerdict {
-    /// One, at once.
+    /// One request may be sent now.
     Granted,
-    /// Not now; to be asked again after this time.
+    /// No request may be sent now; ask again after this time.
     Later(Millis),
-    /// The upstream advertises no limit any more.
+    /// The upstream no longer advertises a limit.
     Unlimited,
 }
--- a/crates/quota/src/state.rs
+++ b/crates/quota/src/state.rs
@@ -1,4 +1,4 @@
-//! What one VM knows of limits, and its part in keeping to them.
+//! State of one entry VM: the limits it knows, the permits it grants and those it waits for.
 
 use bergamot_types::prelude::*;
 use indexmap::IndexMap;
@@ -8,59 +8,59 @@
 use crate::limit::{LimitChange, LimitObservation, LimitTable};
 use crate::message::{LimitReport, PermitAnswer, PermitClaim, PermitQuestion, PermitVerdict};
 
-/// Time between two notices of one upstream's limit to all VMs, as each answer may name another one. Questions for permits
-/// carry the newest one to the owner in any case.
-const TELL_PERIOD: Millis = Millis(500);
-/// Time for which an upstream is left alone whose quota's owner does not answer, or is not known.
-const SILENT_TIME: Millis = Millis(500);
-/// Questions without an answer that are remembered at most.
-const MAX_ASKED: usize = 1_024;
+/// Shortest time between two reports of one upstream's limit to all VMs, as every answer may
+/// advertise a different one. Permit questions carry the latest limit to the owner in any case.
+const REPORT_PERIOD: Millis = Millis(500);
+/// How long an upstream is backed off from if the owner of its quota does not answer or is unknown.
+const OWNER_BACKOFF: Millis = Millis(500);
+/// Maximum number of pending questions.
+const MAX_PENDING_QUESTIONS: usize = 1_024;
 
-/// An upstream with a limit, or without.
+/// An upstream to send to, whether or not it advertises a limit.
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaTarget<'a> {
-    /// Which run of it.
+    /// The upstream.
     pub incarnation: &'a UpstreamIncarnation,
-    /// Where it is.
+    /// The upstream's failure domain.
     pub failure_domain: &'a FailureDomain,
 }
 
-/// Something that happened.
+/// An input of [`QuotaState`].
 #[derive(Clone, Copy, Debug)]
 pub enum QuotaEvent<'a> {
-    /// An upstream answered this VM.
+    /// An upstream answered a request of this VM.
     Observed(QuotaTarget<'a>, LimitObservation),
-    /// Another VM tells of a limit.
+    /// Another VM reported a limit.
     Reported(&'a LimitReport),
-    /// Another VM asks for a permit.
+    /// Another VM asked for a permit.
     PermitRequested(&'a PermitQuestion),
-    /// The owner answered a question of this VM.
+    /// The owner of a quota answered a question of this VM.
     PermitAnswered(&'a PermitAnswer),
-    /// No answer came in time to the question of this number.
+    /// The question with this number was not answered in time.
     TimedOut(u64),
 }
 
-/// What is to be done.
+/// An action for the caller to take.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum QuotaAction {
-    /// Log the limit an upstream advertises now.
+    /// Log that the advertised limit changed.
     LogChange(UpstreamIncarnation, LimitChange),
-    /// Tell all other VMs.
+    /// Send the report to all other VMs.
     Broadcast(LimitReport),
-    /// Answer the VM that asked.
+    /// Answer a question.
     Answer {
-        /// The VM.
+        /// The VM that asked.
         vm: String,
-        /// What it is told.
+        /// The answer.
         answer: PermitAnswer,
     },
-    /// Send nothing more there for a while that is no more urgent.
+    /// Send no request of this or a less urgent priority to the upstream for a while.
     BackOff {
         /// The upstream.
         incarnation: UpstreamIncarnation,
-        /// The rank of the request that was turned away.
+        /// The priority of the deferred request.
         priority: u8,
-        /// For how long.
+        /// How long to send nothing.
         wait: Millis,
     },
 }
@@ -68,108 +68,112 @@
 /// How a request gets its permit.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum PermitStep {
-    /// None is needed.
+    /// No permit is needed.
     NotNeeded,
-    /// It has one.
+    /// The permit is granted.
     Granted,
-    /// There is none for this time.
+    /// No permit is available for this time.
     Later(Millis),
-    /// The owner is to be asked.
+    /// Ask the owner of the quota.
     Ask {
         /// The VM that owns the quota.
         owner: String,
-        /// What it is asked.
+        /// The question to send.
         question: PermitQuestion,
     },
 }
 
-/// A question that is on its way.
+/// A question that the owner has not answered yet.
 #[derive(Clone, Debug)]
-struct AskedPermit {
+struct PendingQuestion {
     incarnation: UpstreamIncarnation,
     priority: u8,
-    asked_at: Millis,
+    sent_at: Millis,
 }
 
-/// Permits of one upstream that this VM gives out.
+/// The permits of an upstream whose quota this VM owns.
 #[derive(Debug)]
 struct OwnedQuota {
     failure_domain: FailureDomain,
     allowance: SendAllowance,
 }
 
-/// The state of one VM.
+/// The quota state of one entry VM.
 #[derive(Debug)]
 pub struct QuotaState {
     fleet: QuotaFleet,
     limits: LimitTable,
-    owned: IndexMap<UpstreamIncarnation, OwnedQuota>,
-    asked: IndexMap<u64, AskedPermit>,
-    told_at: IndexMap<UpstreamIncarnation, Millis>,
+    owned_quotas: IndexMap<UpstreamIncarnation, OwnedQuota>,
+    pending_questions: IndexMap<u64, PendingQuestion>,
+    reported_at: IndexMap<UpstreamIncarnation, Millis>,
     next_number: u64,
 }
 
 impl QuotaState {
-    /// The state of the VM of this name, which numbers its questions from `first_number`: another one at each start, so that
-    /// no answer to an earlier process is taken for one to this.
-    pub fn new(own: String, first_number: u64) -> Self {
+    /// Creates the state of the VM named `own`, which numbers its questions from `first_number`.
+    /// The number must differ at each start, so that an answer to an earlier incarnation of this VM
+    /// is not mistaken for one to this incarnation.
+    pub fn new(own_vm: String, first_number: u64) -> Self {
         Self {
-            fleet: QuotaFleet::new(own),
+            fleet: QuotaFleet::new(own_vm),
             limits: LimitTable::default(),
-            owned: IndexMap::new(),
-            asked: IndexMap::new(),
-            told_at: IndexMap::new(),
+            owned_quotas: IndexMap::new(),
+            pending_questions: IndexMap::new(),
+            reported_at: IndexMap::new(),
             next_number: first_number,
         }
     }
 
-    /// The limits that upstreams advertise.
+    /// Returns the limits that upstreams advertise.
     pub fn limits(&self) -> &LimitTable {
         &self.limits
     }
 
-    /// The same, to note what cannot be read.
+    /// Returns the limits for recording malformed ones.
     pub fn limits_mut(&mut self) -> &mut LimitTable {
         &mut self.limits
     }
 
-    /// Takes over which entry VMs there are, by failure domain.
+    /// Replaces the list of entry VMs, by failure domain.
     pub fn set_vms<Vms>(&mut self, now: Millis, vms: Vms)
     where
         Vms: IntoIterator<Item = (FailureDomain, String)>,
     {
-        self.fleet.set(now, vms);
+        self.fleet.set_vms(now, vms);
         let fleet = &self.fleet;
-        self.owned.retain(|incarnation, owned| {
-            fleet.owner(incarnation, &owned.failure_domain) == Some(fleet.own())
+        self.owned_quotas.retain(|incarnation, owned| {
+            fleet.owner(incarnation, &owned.failure_domain) == Some(fleet.own_vm())
         });
     }
 
-    /// Forgets the upstreams that the directory does not name any more, their limits some time later.
+    /// Drops the permits of upstreams that the directory no longer lists, and their limits some
+    /// time later.
     pub fn retain<Keep>(&mut self, is_listed: Keep, now: Millis)
     where
         Keep: Fn(&UpstreamIncarnation) -> bool,
     {
         self.limits.retain(&is_listed, now);
-        self.owned.retain(|incarnation, _| is_listed(incarnation));
-        self.told_at.retain(|incarnation, _| is_listed(incarnation));
+        self.owned_quotas
+            .retain(|incarnation, _| is_listed(incarnation));
+        self.reported_at
+            .retain(|incarnation, _| is_listed(incarnation));
     }
 
-    /// How a request that is to be sent to an upstream gets its permit.
+    /// Returns how a request to an upstream gets its permit.
     pub fn request_permit(
         &mut self,
         now: Millis,
-        place: QuotaTarget<'_>,
+        target: QuotaTarget<'_>,
         claim: PermitClaim,
     ) -> PermitStep {
-        let Some((observation, rate)) = self.limits.limit(place.incarnation) else {
+        let Some((observation, rate)) = self.limits.limit(target.incarnation) else {
             return PermitStep::NotNeeded;
         };
-        let Some(owner) = self.fleet.owner(place.incarnation, place.failure_domain) else {
-            return PermitStep::Later(SILENT_TIME);
+        let Some(owner) = self.fleet.owner(target.incarnation, target.failure_domain) else {
+            return PermitStep::Later(OWNER_BACKOFF);
         };
-        if owner == self.fleet.own() {
-            return match self.deal(now, place, rate, claim) {
+        if owner == self.fleet.own_vm() {
+            return match self.grant_permit(now, target, rate, claim) {
                 PermitVerdict::Granted => PermitStep::Granted,
                 PermitVerdict::Later(wait) => PermitStep::Later(wait),
                 PermitVerdict::Unlimited => PermitStep::NotNeeded,
@@ -178,77 +182,83 @@
         let owner = owner.to_owned();
         let number = self.next_number;
         self.next_number = number.wrapping_add(1);
-        let asked = AskedPermit {
-            incarnation: place.incarnation.clone(),
+        let pending = PendingQuestion {
+            incarnation: target.incarnation.clone(),
             priority: claim.priority,
-            asked_at: now,
+            sent_at: now,
         };
-        if self.asked.len() >= MAX_ASKED {
-            self.asked.shift_remove_index(0);
+        if self.pending_questions.len() >= MAX_PENDING_QUESTIONS {
+            self.pending_questions.shift_remove_index(0);
         }
-        self.asked.insert(number, asked);
+        self.pending_questions.insert(number, pending);
         PermitStep::Ask {
             owner,
             question: PermitQuestion {
-                vm: self.fleet.own().to_owned(),
+                vm: self.fleet.own_vm().to_owned(),
                 number,
-                report: LimitReport::of(place.incarnation, place.failure_domain, observation, now),
+                report: LimitReport::of(
+                    target.incarnation,
+                    target.failure_domain,
+                    observation,
+                    now,
+                ),
                 claim,
             },
         }
     }
 
-    /// Takes in what happened and says what to do.
+    /// Handles an event and returns the actions to take.
     pub fn handle(&mut self, now: Millis, event: QuotaEvent<'_>) -> Vec<QuotaAction> {
         match event {
-            QuotaEvent::Observed(place, observation) => self.hear(now, place, observation),
-            QuotaEvent::Reported(report) => self.take_report(now, report).into_iter().collect(),
-            QuotaEvent::PermitRequested(question) => self.answer(now, question),
-            QuotaEvent::PermitAnswered(answer) => self.settle(now, answer),
-            QuotaEvent::TimedOut(number) => self.give_up(number),
+            QuotaEvent::Observed(target, observation) => self.observe(now, target, observation),
+            QuotaEvent::Reported(report) => self.merge_report(now, report).into_iter().collect(),
+            QuotaEvent::PermitRequested(question) => self.answer_question(now, question),
+            QuotaEvent::PermitAnswered(answer) => self.resolve_question(now, answer),
+            QuotaEvent::TimedOut(number) => self.expire_question(number),
         }
     }
 
-    fn hear(
+    fn observe(
         &mut self,
         now: Millis,
-        place: QuotaTarget<'_>,
+        target: QuotaTarget<'_>,
         observation: LimitObservation,
     ) -> Vec<QuotaAction> {
-        let Some(change) = self.limits.note(place.incarnation, observation) else {
+        let Some(change) = self.limits.record(target.incarnation, observation) else {
             return Vec::new();
         };
-        let mut actions = vec![QuotaAction::LogChange(place.incarnation.clone(), change)];
-        let told_at = self.told_at.get(place.incarnation);
-        if told_at.is_none_or(|at| now.since(*at) >= TELL_PERIOD) {
-            self.told_at.insert(place.incarnation.clone(), now);
-            let report = LimitReport::of(place.incarnation, place.failure_domain, observation, now);
+        let mut actions = vec![QuotaAction::LogChange(target.incarnation.clone(), change)];
+        let reported_at = self.reported_at.get(target.incarnation);
+        if reported_at.is_none_or(|at| now.since(*at) >= REPORT_PERIOD) {
+            self.reported_at.insert(target.incarnation.clone(), now);
+            let report =
+                LimitReport::of(target.incarnation, target.failure_domain, observation, now);
             actions.push(QuotaAction::Broadcast(report));
         }
         actions
     }
 
-    fn take_report(&mut self, now: Millis, report: &LimitReport) -> Option<QuotaAction> {
+    fn merge_report(&mut self, now: Millis, report: &LimitReport) -> Option<QuotaAction> {
         let change = self
             .limits
-            .note(&report.incarnation, report.observation(now))?;
+            .record(&report.incarnation, report.observation(now))?;
         Some(QuotaAction::LogChange(report.incarnation.clone(), change))
     }
 
-    fn answer(&mut self, now: Millis, question: &PermitQuestion) -> Vec<QuotaAction> {
+    fn answer_question(&mut self, now: Millis, question: &PermitQuestion) -> Vec<QuotaAction> {
         let report = &question.report;
-        let mut actions: Vec<QuotaAction> = self.take_report(now, report).into_iter().collect();
-        let place = QuotaTarget {
+        let mut actions: Vec<QuotaAction> = self.merge_report(now, report).into_iter().collect();
+        let target = QuotaTarget {
             incarnation: &report.incarnation,
             failure_domain: &report.failure_domain,
         };
-        let is_own =
-            self.fleet.owner(place.incarnation, place.failure_domain) == Some(self.fleet.own());
-        let verdict = match (self.limits.rate(place.incarnation), is_own) {
+        let is_owner = self.fleet.owner(target.incarnation, target.failure_domain)
+            == Some(self.fleet.own_vm());
+        let verdict = match (self.limits.rate(target.incarnation), is_owner) {
             (None, _) => PermitVerdict::Unlimited,
-            (Some(rate), true) => self.deal(now, place, rate, question.claim),
-            // By a list of VMs that is not this one's; one of the two is old.
-            (Some(_), false) => PermitVerdict::Later(SILENT_TIME),
+            (Some(rate), true) => self.grant_permit(now, target, rate, question.claim),
+            // The two VMs use different lists of entry VMs, one of which is outdated.
+            (Some(_), false) => PermitVerdict::Later(OWNER_BACKOFF),
         };
         actions.push(QuotaAction::Answer {
             vm: question.vm.clone(),
@@ -260,57 +270,58 @@
         actions
     }
 
-    /// Gives out a permit of a quota that this VM owns.
-    fn deal(
+    /// Grants or defers a permit of a quota that this VM owns.
+    fn grant_permit(
         &mut self,
         now: Millis,
-        place: QuotaTarget<'_>,
+        target: QuotaTarget<'_>,
         rate: SendRate,
         claim: PermitClaim,
     ) -> PermitVerdict {
         let fleet = &self.fleet;
         let owned = self
-            .owned
-            .entry(place.incarnation.clone())
+            .owned_quotas
+            .entry(target.incarnation.clone())
             .or_insert_with(|| {
-                let opens_at = fleet.owns_from(place.incarnation, place.failure_domain);
+                let opens_at = fleet.grants_from(target.incarnation, target.failure_domain);
                 OwnedQuota {
-                    failure_domain: place.failure_domain.clone(),
+                    failure_domain: target.failure_domain.clone(),
                     allowance: SendAllowance::new(rate, opens_at.max(now)),
                 }
             });
-        owned.allowance.ask(now, rate, claim)
+        owned.allowance.request_permit(now, rate, claim)
     }
 
-    fn settle(&mut self, now: Millis, answer: &PermitAnswer) -> Vec<QuotaAction> {
-        let Some(asked) = self.asked.shift_remove(&answer.number) else {
+    fn resolve_question(&mut self, now: Millis, answer: &PermitAnswer) -> Vec<QuotaAction> {
+        let Some(pending) = self.pending_questions.shift_remove(&answer.number) else {
             return Vec::new();
         };
         match answer.verdict {
             PermitVerdict::Granted => Vec::new(),
-            PermitVerdict::Later(wait) => vec![asked.hold_back(wait)],
+            PermitVerdict::Later(wait) => vec![pending.back_off(wait)],
             PermitVerdict::Unlimited => {
                 let observation = LimitObservation {
                     rate: None,
-                    sent_at: asked.asked_at,
+                    sent_at: pending.sent_at,
                     received_at: now,
                 };
-                let change = self.limits.note(&asked.incarnation, observation);
-                let note = change.map(|change| QuotaAction::LogChange(asked.incarnation, change));
-                note.into_iter().collect()
+                let change = self.limits.record(&pending.incarnation, observation);
+                let action =
+                    change.map(|change| QuotaAction::LogChange(pending.incarnation, change));
+                action.into_iter().collect()
             }
         }
     }
 
-    fn give_up(&mut self, number: u64) -> Vec<QuotaAction> {
-        let asked = self.asked.shift_remove(&number);
-        let held = asked.map(|asked| asked.hold_back(SILENT_TIME));
-        held.into_iter().collect()
+    fn expire_question(&mut self, number: u64) -> Vec<QuotaAction> {
+        let pending = self.pending_questions.shift_remove(&number);
+        let actions = pending.map(|pending| pending.back_off(OWNER_BACKOFF));
+        actions.into_iter().collect()
     }
 }
 
-impl AskedPermit {
-    fn hold_back(self, wait: Millis) -> QuotaAction {
+impl PendingQuestion {
+    fn back_off(self, wait: Millis) -> QuotaAction {
         QuotaAction::BackOff {
             incarnation: self.incarnation,
             priority: self.priority,
--- a/crates/quota/tests/fleet.rs
+++ b/crates/quota/tests/fleet.rs
@@ -1,10 +1,10 @@
-//! Which VM owns which quota, and from when on.
+//! Ownership of quotas, and when it takes effect.
 
 use bergamot_quota::QuotaFleet;
 use bergamot_types::prelude::*;
 
 #[test]
-fn a_new_owner_waits_until_nobody_goes_by_the_list_before_it() {
+fn a_new_owner_waits_until_no_vm_uses_the_previous_list() {
     let incarnation = UpstreamIncarnation::new(UpstreamId::new("u"), None);
     let domain = FailureDomain::from("east".to_owned());
     let vms = |names: &[&str]| {
@@ -14,38 +14,43 @@
         vms.collect::<Vec<_>>()
     };
     let names = ["a", "b", "c"];
-    let mut first = QuotaFleet::new("a".to_owned());
-    first.set(Millis(10_000), vms(&names));
-    let owner = first
+    let mut fleet_before = QuotaFleet::new("a".to_owned());
+    fleet_before.set_vms(Millis(10_000), vms(&names));
+    let owner = fleet_before
         .owner(&incarnation, &domain)
-        .expect("there is one")
+        .expect("some VM owns the quota")
         .to_owned();
-    let heir_names: Vec<&str> = names.into_iter().filter(|name| *name != owner).collect();
-    first.set(Millis(20_000), vms(&heir_names));
-    let heir = first
+    let remaining_names: Vec<&str> = names.into_iter().filter(|name| *name != owner).collect();
+    fleet_before.set_vms(Millis(20_000), vms(&remaining_names));
+    let new_owner = fleet_before
         .owner(&incarnation, &domain)
-        .expect("there is one")
+        .expect("some VM owns the quota")
         .to_owned();
-    let mut fleet = QuotaFleet::new(heir);
-    fleet.set(Millis(10_000), vms(&names));
-    fleet.set(Millis(20_000), vms(&heir_names));
-    assert_eq!(fleet.owns_from(&incarnation, &domain), Millis(22_000));
-    // A change that leaves the owner as it was is none to wait for.
-    fleet.set(Millis(25_000), vms(&[fleet.own()]));
-    assert_eq!(fleet.owns_from(&incarnation, &domain), Millis::ZERO);
-    let mut started = QuotaFleet::new(owner);
-    started.set(Millis(10_000), vms(&names));
-    assert_eq!(started.owns_from(&incarnation, &domain), Millis(12_000));
+    let mut fleet = QuotaFleet::new(new_owner);
+    fleet.set_vms(Millis(10_000), vms(&names));
+    fleet.set_vms(Millis(20_000), vms(&remaining_names));
+    assert_eq!(fleet.grants_from(&incarnation, &domain), Millis(22_000));
+    // A change that keeps the owner requires no wait.
+    fleet.set_vms(Millis(25_000), vms(&[fleet.own_vm()]));
+    assert_eq!(fleet.grants_from(&incarnation, &domain), Millis::ZERO);
+    let mut restarted = QuotaFleet::new(owner);
+    restarted.set_vms(Millis(10_000), vms(&names));
+    assert_eq!(restarted.grants_from(&incarnation, &domain), Millis(12_000));
 }
 
 #[test]
-fn an_upstream_is_owned_in_its_own_failure_domain_where_that_has_vms() {
+fn a_quota_is_owned_in_the_failure_domain_of_its_upstream_if_that_has_vms() {
     let mut fleet = QuotaFleet::new("a".to_owned());
-    let place = |domain: &str, vm: &str| (FailureDomain::from(domain.to_owned()), vm.to_owned());
+    let located_vm =
+        |domain: &str, vm: &str| (FailureDomain::from(domain.to_owned()), vm.to_owned());
     let east = FailureDomain::from("east".to_owned());
-    fleet.set(
+    fleet.set_vms(
         Millis(1),
-        [place("east", "a"), place("west", "b"), place("west", "c")],
+        [
+            located_vm("east", "a"),
+            located_vm("west", "b"),
+            located_vm("west", "c"),
+        ],
     );
     for number in 0..20 {
         let incarnation = UpstreamIncarnation::new(UpstreamId::new(&format!("u{number}")), None);
@@ -53,7 +58,7 @@
         let south = FailureDomain::from("south".to_owned());
         assert!(fleet.owner(&incarnation, &south).is_some());
     }
-    fleet.set(Millis(2), []);
+    fleet.set_vms(Millis(2), []);
     let incarnation = UpstreamIncarnation::new(UpstreamId::new("u"), None);
     assert_eq!(fleet.owner(&incarnation, &east), None);
 }
--- a/crates/quota/tests/limit.rs
+++ b/crates/quota/tests/limit.rs
@@ -1,4 +1,4 @@
-//! Which of two words of an upstream holds.
+//! Which of two observations of an upstream's limit is in force.
 
 use bergamot_quota::{LimitChange, LimitObservation, LimitTable};
 use bergamot_types::prelude::*;
@@ -25,20 +25,20 @@
 }
 
 #[test]
-fn the_younger_word_holds_and_the_lower_one_where_the_order_is_not_known() {
+fn the_later_limit_is_in_force_or_the_lower_one_if_the_order_is_unknown() {
     let cases = [
         OrderCase {
-            name: "an answer to a request that was sent after the limit was heard ends it",
+            name: "an answer to a request sent after the limit was received withdraws it",
             observations: vec![observation(0, 10, Some(2_000)), observation(10, 30, None)],
             expected: None,
         },
         OrderCase {
-            name: "an answer that was overtaken does not end a limit",
+            name: "an overtaken answer does not withdraw a limit",
             observations: vec![observation(20, 30, Some(2_000)), observation(0, 40, None)],
             expected: Some(2_000),
         },
         OrderCase {
-            name: "a limit that was heard before its end was sent for is old",
+            name: "a limit received before the withdrawing request was sent is outdated",
             observations: vec![
                 observation(0, 5, Some(9_000)),
                 observation(50, 60, None),
@@ -47,7 +47,7 @@
             expected: None,
         },
         OrderCase {
-            name: "raised",
+            name: "raised by a later answer",
             observations: vec![
                 observation(0, 10, Some(2_000)),
                 observation(11, 30, Some(5_000)),
@@ -55,7 +55,7 @@
             expected: Some(5_000),
         },
         OrderCase {
-            name: "raised by an answer that was overtaken",
+            name: "raised by an overtaken answer",
             observations: vec![
                 observation(0, 10, Some(2_000)),
                 observation(5, 30, Some(5_000)),
@@ -63,7 +63,7 @@
             expected: Some(2_000),
         },
         OrderCase {
-            name: "lowered by an answer that was overtaken",
+            name: "lowered by an overtaken answer",
             observations: vec![
                 observation(0, 10, Some(5_000)),
                 observation(5, 30, Some(2_000)),
@@ -71,7 +71,7 @@
             expected: Some(2_000),
         },
         OrderCase {
-            name: "lowered to nothing",
+            name: "lowered to zero",
             observations: vec![
                 observation(0, 10, Some(5_000)),
                 observation(20, 30, Some(0)),
@@ -79,7 +79,7 @@
             expected: Some(0),
         },
         OrderCase {
-            name: "named again meanwhile, so that an answer sent for before does not end it",
+            name: "advertised again: an earlier request's answer does not withdraw it",
             observations: vec![
                 observation(0, 10, Some(2_000)),
                 observation(5, 50, Some(2_000)),
@@ -91,7 +91,7 @@
     for case in cases {
         let mut table = LimitTable::default();
         for observation in case.observations {
-            table.note(&incarnation(1), observation);
+            table.record(&incarnation(1), observation);
         }
         let expected = case.expected.map(SendRate::from_milli);
         assert_eq!(table.rate(&incarnation(1)), expected, "{}", case.name);
@@ -99,40 +99,46 @@
 }
 
 #[test]
-fn a_change_is_told_once() {
+fn a_change_is_returned_once() {
     let mut table = LimitTable::default();
-    let named = LimitChange::Advertised(SendRate::from_milli(2_000));
-    assert_eq!(table.note(&incarnation(1), observation(0, 10, None)), None);
+    let advertised = LimitChange::Advertised(SendRate::from_milli(2_000));
     assert_eq!(
-        table.note(&incarnation(1), observation(0, 10, Some(2_000))),
-        Some(named)
+        table.record(&incarnation(1), observation(0, 10, None)),
+        None
+    );
+    assert_eq!(
+        table.record(&incarnation(1), observation(0, 10, Some(2_000))),
+        Some(advertised)
     );
     assert_eq!(
-        table.note(&incarnation(1), observation(11, 20, Some(2_000))),
+        table.record(&incarnation(1), observation(11, 20, Some(2_000))),
         None
     );
-    let ended = Some(LimitChange::Withdrawn);
+    let withdrawn = Some(LimitChange::Withdrawn);
     assert_eq!(
-        table.note(&incarnation(1), observation(21, 30, None)),
-        ended
+        table.record(&incarnation(1), observation(21, 30, None)),
+        withdrawn
+    );
+    assert_eq!(
+        table.record(&incarnation(1), observation(31, 40, None)),
+        None
     );
-    assert_eq!(table.note(&incarnation(1), observation(31, 40, None)), None);
 }
 
 #[test]
-fn a_limit_ends_with_the_run_that_named_it() {
+fn a_limit_applies_only_to_the_incarnation_that_advertised_it() {
     let mut table = LimitTable::default();
-    table.note(&incarnation(1), observation(0, 10, Some(2_000)));
+    table.record(&incarnation(1), observation(0, 10, Some(2_000)));
     assert_eq!(table.rate(&incarnation(2)), None);
     assert_eq!(table.len(), 1);
-    table.retain(|kept| *kept == incarnation(2), Millis(700_000));
+    table.retain(|listed| *listed == incarnation(2), Millis(700_000));
     assert!(table.is_empty());
 }
 
 #[test]
-fn a_word_that_cannot_be_read_leaves_the_one_before_it_and_is_logged_once() {
+fn a_malformed_limit_keeps_the_previous_one_and_is_logged_once() {
     let mut table = LimitTable::default();
-    table.note(&incarnation(1), observation(0, 10, Some(2_000)));
+    table.record(&incarnation(1), observation(0, 10, Some(2_000)));
     assert!(table.record_malformed(&incarnation(1), RateError::Empty));
     assert!(!table.record_malformed(&incarnation(1), RateError::Empty));
     assert!(table.record_malformed(&incarnation(1), RateError::Repeated));
@@ -143,9 +149,9 @@
 }
 
 #[test]
-fn an_upstream_that_was_out_of_the_directory_for_a_while_has_its_limit_still() {
+fn a_limit_survives_a_temporary_absence_from_the_directory() {
     let mut table = LimitTable::default();
-    table.note(&incarnation(1), observation(0, 10, Some(2_000)));
+    table.record(&incarnation(1), observation(0, 10, Some(2_000)));
     table.retain(|_| false, Millis(60_000));
     assert_eq!(
         table.rate(&incarnation(1)),
@@ -155,5 +161,5 @@
     table.retain(|_| false, Millis(600_000));
     assert_eq!(table.len(), 1);
     table.retain(|_| false, Millis(690_000));
-    assert!(table.is_empty(), "it is gone");
+    assert!(table.is_empty(), "the limit expired");
 }
