--- a/crates/gateway/src/front/exchange.rs
+++ b/crates/gateway/src/front/exchange.rs
@@ -123,7 +123,7 @@
         Ok(PeerNotice::Silent(notice)) => take_silence(front, &notice),
         Ok(PeerNotice::Limit(notice)) => take_limit(front, &notice),
         Ok(PeerNotice::PermitQuestion(question)) => {
-            answer_quota(front, QuotaEvent::Asked(&question))
+            answer_quota(front, QuotaEvent::PermitRequested(&question))
         }
         Ok(PeerNotice::PermitAnswer(answer)) => {
             settle(front, &answer);
@@ -167,7 +167,7 @@
 ) -> Vec<AddressedNotice> {
     let now = front.now();
     let mut quarantine = front.shared.quarantine.lock();
-    quarantine.handle(now, QuarantineEvent::Heard(&notice.record));
+    quarantine.handle(now, QuarantineEvent::Reported(&notice.record));
     drop(quarantine);
     let book = front.book.borrow();
     let hops = book.occupancy.forward_hops(&notice.vm, notice.scope);
@@ -214,7 +214,7 @@
     front: &FrontContext<Dialect>,
     notice: &LimitNotice,
 ) -> Vec<AddressedNotice> {
-    let event = QuotaEvent::Told(&notice.report);
+    let event = QuotaEvent::Reported(&notice.report);
     let actions = front.quota.borrow_mut().handle(front.now(), event);
     act(front, actions);
     let hops = {
