--- a/crates/gateway/src/group_actions.rs
+++ b/crates/gateway/src/group_actions.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use bergamot_groups::{AskOutcome, GroupAction, GroupPlanner};
+use bergamot_groups::{GroupAction, GroupPlanner, QueryOutcome};
 use bergamot_ports::{
     ControlError, KeyWrite, OrderOutcome, OrderRequest, StateStore, StoreError, StoreTxn,
     TxnOutcome, UpstreamControl,
@@ -33,7 +33,7 @@
     /// An order, and what became of it.
     Ordered(OrderRequest, OrderOutcome),
     /// A question to an upstream, and what became of it.
-    Asked(UpstreamIncarnation, AskOutcome),
+    Asked(UpstreamIncarnation, QueryOutcome),
     /// Members of a group that were to be held, and whether they are.
     Held(GroupId, Vec<UpstreamId>, bool),
 }
@@ -63,7 +63,7 @@
     // Never closed, so this only waits. A hold is a call to the store and waits for nobody.
     let _permit = match &action {
         GroupAction::Hold { .. } => None,
-        GroupAction::Order(_) | GroupAction::Ask(_) => calls.acquire().await.ok(),
+        GroupAction::Order(_) | GroupAction::Query(_) => calls.acquire().await.ok(),
     };
     match action {
         GroupAction::Hold { group, members } => {
@@ -87,29 +87,29 @@
             };
             DoneAction::Ordered(request, outcome)
         }
-        GroupAction::Ask(target) => {
+        GroupAction::Query(target) => {
             let began = clock.now();
             let outcome = match control.report(&target).await {
-                Ok(report) => AskOutcome::Answered(report),
-                Err(ControlError::Gone) => AskOutcome::Gone,
+                Ok(report) => QueryOutcome::Answered(report),
+                Err(ControlError::Gone) => QueryOutcome::Gone,
                 Err(ControlError::NoAnswer(_))
                     if stood_still(clock, began, Control::REPORT_TIMEOUT) =>
                 {
-                    AskOutcome::Unheard
+                    QueryOutcome::Unheard
                 }
                 Err(ControlError::NoAnswer(reason)) => {
                     log::info!(
                         "event=report_missing upstream={} reason={reason:?}",
                         target.incarnation
                     );
-                    AskOutcome::Silent
+                    QueryOutcome::Silent
                 }
                 Err(ControlError::Malformed(reason)) => {
                     log::warn!(
                         "event=report_unreadable upstream={} reason={reason:?}",
                         target.incarnation
                     );
-                    AskOutcome::Silent
+                    QueryOutcome::Silent
                 }
             };
             DoneAction::Asked(target.incarnation, outcome)
--- a/crates/groups/src/give.rs
+++ b/crates/groups/src/give.rs
@@ -64,7 +64,7 @@
         }
         track.is_asked = true;
         track.asked_at = Some(now);
-        Some(GroupAction::Ask(track.target()))
+        Some(GroupAction::Query(track.target()))
     }
 
     /// Asks those that were silent, or fell out of the directory, whether they are back.
--- a/crates/groups/src/hear.rs
+++ b/crates/groups/src/hear.rs
@@ -3,7 +3,7 @@
 use bergamot_ports::{GroupOrder, OrderOutcome, OrderRequest, UpstreamReport};
 use bergamot_types::prelude::*;
 
-use crate::planner::{AskOutcome, GroupPlanner};
+use crate::planner::{GroupPlanner, QueryOutcome};
 
 /// Answers of others, between two questions to an upstream that both ran out of time late, from which on
 /// the second counts as unanswered: then this process did hear answers meanwhile. Half a large group;
@@ -62,7 +62,12 @@
     }
 
     /// Hears what became of a question.
-    pub fn note_report(&mut self, asked: &UpstreamIncarnation, outcome: &AskOutcome, now: Millis) {
+    pub fn note_report(
+        &mut self,
+        asked: &UpstreamIncarnation,
+        outcome: &QueryOutcome,
+        now: Millis,
+    ) {
         let Some(track) = self.tracks.get_mut(&asked.id) else {
             return;
         };
@@ -71,7 +76,7 @@
             track.is_asked = false;
         }
         match outcome {
-            AskOutcome::Answered(report) => match report.born {
+            QueryOutcome::Answered(report) => match report.born {
                 Some(_) if report.born > known => {
                     return self.note_restart(&asked.id, report, now);
                 }
@@ -84,7 +89,7 @@
             _ => {}
         }
         match outcome {
-            AskOutcome::Answered(report) => {
+            QueryOutcome::Answered(report) => {
                 self.answers_heard += 1;
                 track.silent = 0;
                 track.unheard_at = None;
@@ -100,13 +105,13 @@
                     track.entry.membership = report.membership.clone();
                 }
             }
-            AskOutcome::Gone => track.is_gone = true,
-            AskOutcome::Silent => {
+            QueryOutcome::Gone => track.is_gone = true,
+            QueryOutcome::Silent => {
                 track.silent += 1;
                 track.silent_at = now;
                 track.silent_since.get_or_insert(now);
             }
-            AskOutcome::Unheard => {
+            QueryOutcome::Unheard => {
                 let heard = self.answers_heard;
                 let before = track.unheard_at.replace(heard);
                 if before.is_some_and(|before| heard - before >= ANSWERS_BETWEEN) {
@@ -130,6 +135,6 @@
         if let Some(before) = before {
             self.hold_if_standing(id, &(before.group, before.epoch), now);
         }
-        self.note_report(&incarnation, &AskOutcome::Answered(report.clone()), now);
+        self.note_report(&incarnation, &QueryOutcome::Answered(report.clone()), now);
     }
 }
--- a/crates/groups/src/lib.rs
+++ b/crates/groups/src/lib.rs
@@ -27,4 +27,4 @@
 
 pub use demand::{DemandMeter, ModelUse};
 pub use options::GroupOptions;
-pub use planner::{AskOutcome, GroupAction, GroupPlanner};
+pub use planner::{GroupAction, GroupPlanner, QueryOutcome};
--- a/crates/groups/src/planner.rs
+++ b/crates/groups/src/planner.rs
@@ -21,7 +21,7 @@
     /// Give an order and tell [`GroupPlanner::note_order`] what became of it.
     Order(OrderRequest),
     /// Ask for a report and tell [`GroupPlanner::note_report`].
-    Ask(UpstreamTarget),
+    Query(UpstreamTarget),
     /// Keep these where a later coordinator finds them, for at least [`GroupOptions::hold_use`] and then
     /// [`GroupOptions::hold_time`], and tell [`GroupPlanner::note_hold`]: they are about to leave a group whose leader may
     /// still stand open.
@@ -35,7 +35,7 @@
 
 /// What became of a question.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub enum AskOutcome {
+pub enum QueryOutcome {
     /// It answered.
     Answered(UpstreamReport),
     /// Its process is gone.
--- a/crates/groups/tests/decisions.rs
+++ b/crates/groups/tests/decisions.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use bergamot_groups::{AskOutcome, GroupAction, GroupOptions, GroupPlanner};
+use bergamot_groups::{GroupAction, GroupOptions, GroupPlanner, QueryOutcome};
 use bergamot_ports::{EngineSpec, MemberState, OrderOutcome, UpstreamReport};
 use bergamot_types::prelude::*;
 use indexmap::IndexMap;
@@ -254,7 +254,7 @@
             orders_begun: 5,
             ..report()
         };
-        planner.note_report(&incarnation(id), &AskOutcome::Answered(report), NOW);
+        planner.note_report(&incarnation(id), &QueryOutcome::Answered(report), NOW);
     }
     let actions = planner.step(NOW + Millis(100));
     let expected: Vec<Option<u64>> = actions
--- a/crates/groups/tests/lives.rs
+++ b/crates/groups/tests/lives.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use bergamot_groups::{AskOutcome, GroupAction, GroupPlanner};
+use bergamot_groups::{GroupAction, GroupPlanner, QueryOutcome};
 use bergamot_ports::{MemberState, OrderOutcome, OrderRequest, UpstreamReport};
 use bergamot_types::prelude::*;
 
@@ -92,12 +92,16 @@
     let mut planner = planner();
     show(&ups, &mut planner);
     for after in [1, 60] {
-        planner.note_report(&incarnation("u3"), &AskOutcome::Silent, NOW + Millis(after));
+        planner.note_report(
+            &incarnation("u3"),
+            &QueryOutcome::Silent,
+            NOW + Millis(after),
+        );
     }
     show_again(&ups, &["u3"], &mut planner, NOW + Millis(100));
     // A question to the earlier run that runs out of time now.
-    planner.note_report(&incarnation("u3"), &AskOutcome::Silent, NOW + Millis(110));
-    planner.note_report(&incarnation("u3"), &AskOutcome::Gone, NOW + Millis(120));
+    planner.note_report(&incarnation("u3"), &QueryOutcome::Silent, NOW + Millis(110));
+    planner.note_report(&incarnation("u3"), &QueryOutcome::Gone, NOW + Millis(120));
     let actions = planner.step(NOW + Millis(130));
     assert_eq!(orders(&actions), ["u3: stage b", "u4: stage b"]);
     // Doubts about a leader's earlier run say nothing of the later one.
@@ -161,7 +165,7 @@
         born: Some(UnixMillis(2)),
         ..report()
     };
-    planner.note_report(&incarnation("u2"), &AskOutcome::Answered(restarted), NOW);
+    planner.note_report(&incarnation("u2"), &QueryOutcome::Answered(restarted), NOW);
     let actions = planner.step(NOW);
     assert!(
         orders(&actions).contains(&"u1: leave".to_owned()),
@@ -169,7 +173,7 @@
     );
     // The entry of the earlier run is read again, and so is an answer of it that was on its way.
     show(&ups, &mut planner);
-    let old = AskOutcome::Answered(report());
+    let old = QueryOutcome::Answered(report());
     planner.note_report(&incarnation("u2"), &old, NOW + Millis(10));
     let request = requests(&actions).remove(0);
     planner.note_order(&request, &OrderOutcome::Unknown("lost".to_owned()));
--- a/crates/groups/tests/silence.rs
+++ b/crates/groups/tests/silence.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use bergamot_groups::{AskOutcome, GroupAction};
+use bergamot_groups::{GroupAction, QueryOutcome};
 use bergamot_ports::{MemberState, OrderOutcome};
 use bergamot_types::prelude::*;
 
@@ -21,7 +21,7 @@
         let now = NOW + Millis(round * 1_000);
         planner.note_quiet(&incarnation("u1"), true, now);
         for id in ["u1", "u2"] {
-            planner.note_report(&incarnation(id), &AskOutcome::Unheard, now);
+            planner.note_report(&incarnation(id), &QueryOutcome::Unheard, now);
         }
         let actions = planner.step(now + Millis(60));
         let orders = actions
@@ -41,7 +41,7 @@
     let mut planner = planner();
     show(&ups, &mut planner);
     quiet(&mut planner, "u1", NOW);
-    let report = AskOutcome::Answered(report());
+    let report = QueryOutcome::Answered(report());
     planner.note_report(&incarnation("u2"), &report, NOW);
     let now = NOW + Millis(200);
     let actions = planner.step(now);
@@ -74,7 +74,7 @@
     planner.note_order(&request.expect("it was ordered"), &OrderOutcome::Holds);
     let left = [ups[0], up("u2", Some("a")), ups[2]];
     show(&left, &mut planner);
-    planner.note_report(&incarnation("u1"), &AskOutcome::Silent, now);
+    planner.note_report(&incarnation("u1"), &QueryOutcome::Silent, now);
     let actions = planner.step(now + Millis(4_000));
     assert!(
         !orders(&actions).iter().any(|order| order.starts_with("u2")),
@@ -96,7 +96,7 @@
         member("u2", "a.7", 1, MemberState::Ready),
     ];
     let (leader, other) = (incarnation("u1"), incarnation("u2"));
-    let report = AskOutcome::Answered(report());
+    let report = QueryOutcome::Answered(report());
     let mut planner = planner();
     show(&ups, &mut planner);
     let mut ended_after = None;
@@ -106,7 +106,7 @@
         for _ in 0..10 {
             planner.note_report(&leader, &report, now);
         }
-        planner.note_report(&other, &AskOutcome::Unheard, now);
+        planner.note_report(&other, &QueryOutcome::Unheard, now);
         planner.note_quiet(&leader, true, now + Millis(10));
         let actions = planner.step(now + Millis(20));
         if orders(&actions).contains(&"u1: leave".to_owned()) {
@@ -168,12 +168,12 @@
         ];
         let mut planner = planner();
         show(&ups, &mut planner);
-        let report = AskOutcome::Answered(report());
+        let report = QueryOutcome::Answered(report());
         planner.note_quiet(&incarnation("u1"), true, NOW);
         planner.note_report(&incarnation("u1"), &report, NOW);
         for after in [1, 60] {
             let at = NOW + Millis(after);
-            planner.note_report(&incarnation("u2"), &AskOutcome::Silent, at);
+            planner.note_report(&incarnation("u2"), &QueryOutcome::Silent, at);
         }
         if !case.is_listed {
             show(&ups[..1], &mut planner);
@@ -203,12 +203,14 @@
     }
     for round in 0..20 {
         let actions = planner.step(NOW + Millis(100 + 500 * round));
-        let has_more = actions.iter().any(|it| !matches!(it, GroupAction::Ask(_)));
+        let has_more = actions
+            .iter()
+            .any(|it| !matches!(it, GroupAction::Query(_)));
         assert!(!has_more, "round {round}: {actions:?}");
     }
     // The member is heard of first: the leader is asked once more before anybody leaves.
     let now = NOW + Millis(12_000);
-    let report = AskOutcome::Answered(report());
+    let report = QueryOutcome::Answered(report());
     planner.note_report(&other, &report, now);
     planner.note_hold(&GroupId::new("a.7"), &[leader.id.clone(), other.id], true);
     let actions = planner.step(now);
@@ -232,7 +234,7 @@
         members: held.to_vec(),
     };
     let is_u2 = |order: &String| order.starts_with("u2");
-    let answer = AskOutcome::Answered(report());
+    let answer = QueryOutcome::Answered(report());
     let mut planner = planner();
     show(&ups, &mut planner);
     quiet(&mut planner, "u1", NOW);
--- a/crates/groups/tests/support/short.rs
+++ b/crates/groups/tests/support/short.rs
@@ -1,6 +1,6 @@
 //! A small directory in short, and what a planner makes of it.
 
-use bergamot_groups::{AskOutcome, GroupAction, GroupOptions, GroupPlanner};
+use bergamot_groups::{GroupAction, GroupOptions, GroupPlanner, QueryOutcome};
 use bergamot_ports::{
     EngineSpec, GroupMembership, GroupOrder, MemberState, ModelSpec, OrderOutcome, UpstreamEntry,
     UpstreamReport, UpstreamState,
@@ -136,7 +136,7 @@
                 };
                 Some(format!("{}: {what}", request.target.incarnation))
             }
-            GroupAction::Ask(_) | GroupAction::Hold { .. } => None,
+            GroupAction::Query(_) | GroupAction::Hold { .. } => None,
         })
         .collect();
     shown.sort();
@@ -155,8 +155,8 @@
 pub fn quiet(planner: &mut GroupPlanner, id: &str, now: Millis) {
     let id = incarnation(id);
     planner.note_quiet(&id, true, now);
-    planner.note_report(&id, &AskOutcome::Silent, now);
+    planner.note_report(&id, &QueryOutcome::Silent, now);
     let actions = planner.step(now + Millis(60));
     obey(planner, &actions);
-    planner.note_report(&id, &AskOutcome::Silent, now + Millis(60));
+    planner.note_report(&id, &QueryOutcome::Silent, now + Millis(60));
 }
--- a/crates/groups/tests/support/world.rs
+++ b/crates/groups/tests/support/world.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use bergamot_groups::{AskOutcome, GroupAction, GroupOptions, GroupPlanner};
+use bergamot_groups::{GroupAction, GroupOptions, GroupPlanner, QueryOutcome};
 use bergamot_ports::{
     EngineSpec, GroupMembership, GroupOrder, MemberState, ModelSpec, OrderOutcome, OrderRequest,
     UpstreamEntry, UpstreamReport, UpstreamState,
@@ -304,7 +304,7 @@
                 planner.note_hold(&group, &members, true);
                 self.holds.insert(group, (members, self.now + 12_000));
             }
-            GroupAction::Ask(target) => {
+            GroupAction::Query(target) => {
                 let outcome = self.ask(&target.incarnation.id, target.addr);
                 self.trace(|| format!("{index} asks {:?}: {outcome:?}", target.incarnation));
                 let now = Millis(self.now);
@@ -334,21 +334,21 @@
     }
 
     /// What the upstream at an address answers to a question for `id`.
-    fn ask(&self, id: &UpstreamId, addr: SocketAddr) -> AskOutcome {
+    fn ask(&self, id: &UpstreamId, addr: SocketAddr) -> QueryOutcome {
         let there = self.upstreams.iter().find(|upstream| upstream.addr == addr);
         let Some(upstream) = there.filter(|upstream| !upstream.cut_from_coordinator) else {
             return match self.options.trust_refusals {
-                true => AskOutcome::Gone,
-                false => AskOutcome::Silent,
+                true => QueryOutcome::Gone,
+                false => QueryOutcome::Silent,
             };
         };
         if upstream.down_until > self.now {
-            return AskOutcome::Silent;
+            return QueryOutcome::Silent;
         }
         if upstream.id != *id {
-            return AskOutcome::Gone;
+            return QueryOutcome::Gone;
         }
-        AskOutcome::Answered(UpstreamReport {
+        QueryOutcome::Answered(UpstreamReport {
             born: upstream.born,
             orders_begun: upstream.begun,
             is_busy: upstream.loading.is_some(),
