--- a/crates/gateway/src/front/call.rs
+++ b/crates/gateway/src/front/call.rs
@@ -68,7 +68,10 @@
         .note_request(arrived, &state.service);
     if let Some(model) = &request.call.model {
         let prompt = request.call.prompt_tokens();
-        front.demand.borrow_mut().note_asked(arrived, model, prompt);
+        front
+            .demand
+            .borrow_mut()
+            .record_request(arrived, model, prompt);
     }
     serve(front, request, state).await
 }
--- a/crates/gateway/src/front/relay.rs
+++ b/crates/gateway/src/front/relay.rs
@@ -298,7 +298,7 @@
             self.front.returns.borrow_mut().note_answer(model, took);
             if self.request.call.resume_after.is_none() {
                 let mut demand = self.front.demand.borrow_mut();
-                demand.note_answered(model, self.delivered);
+                demand.record_answer(model, self.delivered);
             }
         }
         let keep_alive = reply.facts.keep_alive;
--- a/crates/gateway/src/group_actions.rs
+++ b/crates/gateway/src/group_actions.rs
@@ -168,14 +168,14 @@
             let name = outcome_name(outcome);
             let orders = &shared.metrics.orders;
             orders.with_label_values(&[order, name]).inc();
-            planner.note_order(request, outcome);
+            planner.record_order_outcome(request, outcome);
         }
         DoneAction::Held(group, members, is_kept) => {
-            planner.note_hold(group, members, *is_kept);
+            planner.record_hold(group, members, *is_kept);
         }
         DoneAction::Asked(id, outcome) => {
             log::info!("event=asked upstream={id} outcome={outcome:?}");
-            planner.note_report(id, outcome, shared.clock.now());
+            planner.record_query_outcome(id, outcome, shared.clock.now());
         }
     }
 }
--- a/crates/gateway/src/groups.rs
+++ b/crates/gateway/src/groups.rs
@@ -248,7 +248,7 @@
                 continue;
             };
             if shared.has_traffic.load(Ordering::Relaxed) {
-                planner.note_traffic();
+                planner.record_traffic();
             }
             planner.set_demand(shared.demand.load().as_ref().clone());
             for action in planner.step(now) {
@@ -276,7 +276,7 @@
         let planner = planner.filter(|_| term.allows_orders(now));
         match (planner, notice) {
             (Some(planner), Some(notice)) => {
-                planner.note_quiet(&notice.leader, notice.is_certain, now)
+                planner.record_stall(&notice.leader, notice.is_certain, now)
             }
             _ => Vec::new(),
         }
--- a/crates/groups/src/demand.rs
+++ b/crates/groups/src/demand.rs
@@ -37,7 +37,7 @@
 
 impl DemandMeter {
     /// Counts a caller's request.
-    pub fn note_asked(&mut self, now: Millis, model: &ModelName, prompt_tokens: u32) {
+    pub fn record_request(&mut self, now: Millis, model: &ModelName, prompt_tokens: u32) {
         self.fade(now);
         let asked = self.uses.entry(model.clone()).or_default();
         asked.requests += 1.0;
@@ -45,7 +45,7 @@
     }
 
     /// Notes how many events a whole answer had.
-    pub fn note_answered(&mut self, model: &ModelName, events: u64) {
+    pub fn record_answer(&mut self, model: &ModelName, events: u64) {
         let asked = self.uses.entry(model.clone()).or_default();
         let events = events as f64;
         let mean = asked.events.get_or_insert(events);
--- a/crates/groups/src/hear.rs
+++ b/crates/groups/src/hear.rs
@@ -12,7 +12,7 @@
 
 impl GroupPlanner {
     /// Hears what became of an order.
-    pub fn note_order(&mut self, request: &OrderRequest, outcome: &OrderOutcome) {
+    pub fn record_order_outcome(&mut self, request: &OrderRequest, outcome: &OrderOutcome) {
         let target = &request.target.incarnation;
         let track = self.tracks.get_mut(&target.id);
         // What was meant for an earlier run says nothing of this one.
@@ -62,7 +62,7 @@
     }
 
     /// Hears what became of a question.
-    pub fn note_report(
+    pub fn record_query_outcome(
         &mut self,
         asked: &UpstreamIncarnation,
         outcome: &QueryOutcome,
@@ -135,6 +135,6 @@
         if let Some(before) = before {
             self.hold_if_standing(id, &(before.group, before.epoch), now);
         }
-        self.note_report(&incarnation, &QueryOutcome::Answered(report.clone()), now);
+        self.record_query_outcome(&incarnation, &QueryOutcome::Answered(report.clone()), now);
     }
 }
--- a/crates/groups/src/planner.rs
+++ b/crates/groups/src/planner.rs
@@ -18,12 +18,12 @@
 /// Something the coordinator wants done.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum GroupAction {
-    /// Give an order and tell [`GroupPlanner::note_order`] what became of it.
+    /// Give an order and tell [`GroupPlanner::record_order_outcome`] what became of it.
     Order(OrderRequest),
-    /// Ask for a report and tell [`GroupPlanner::note_report`].
+    /// Ask for a report and tell [`GroupPlanner::record_query_outcome`].
     Query(UpstreamTarget),
     /// Keep these where a later coordinator finds them, for at least [`GroupOptions::hold_use`] and then
-    /// [`GroupOptions::hold_time`], and tell [`GroupPlanner::note_hold`]: they are about to leave a group whose leader may
+    /// [`GroupOptions::hold_time`], and tell [`GroupPlanner::record_hold`]: they are about to leave a group whose leader may
     /// still stand open.
     Hold {
         /// The group.
@@ -237,13 +237,13 @@
     }
 
     /// Hears that requests come in.
-    pub fn note_traffic(&mut self) {
+    pub fn record_traffic(&mut self) {
         self.has_traffic = true;
     }
 
     /// Hears that nothing comes from this leader, and whether requests stand still there for certain.
     /// Asks all members; only certainty makes one that does not answer a lost one.
-    pub fn note_quiet(
+    pub fn record_stall(
         &mut self,
         leader: &UpstreamIncarnation,
         is_certain: bool,
@@ -271,7 +271,7 @@
     }
 
     /// Hears whether members are held where a later coordinator finds it.
-    pub fn note_hold(&mut self, group: &GroupId, members: &[UpstreamId], is_kept: bool) {
+    pub fn record_hold(&mut self, group: &GroupId, members: &[UpstreamId], is_kept: bool) {
         let held = self.holds.entry(group.clone()).or_default();
         match is_kept {
             true => held.kept.extend(members.iter().cloned()),
--- a/crates/groups/tests/decisions.rs
+++ b/crates/groups/tests/decisions.rs
@@ -231,7 +231,7 @@
     let Some(GroupAction::Order(request)) = actions.into_iter().next() else {
         panic!("it is ordered to leave");
     };
-    planner.note_order(&request, &OrderOutcome::Fenced);
+    planner.record_order_outcome(&request, &OrderOutcome::Fenced);
     assert!(planner.is_fenced());
     assert_eq!(planner.step(NOW + Millis(1_000)), Vec::new());
 }
@@ -254,7 +254,7 @@
             orders_begun: 5,
             ..report()
         };
-        planner.note_report(&incarnation(id), &QueryOutcome::Answered(report), NOW);
+        planner.record_query_outcome(&incarnation(id), &QueryOutcome::Answered(report), NOW);
     }
     let actions = planner.step(NOW + Millis(100));
     let expected: Vec<Option<u64>> = actions
--- a/crates/groups/tests/demand.rs
+++ b/crates/groups/tests/demand.rs
@@ -68,9 +68,9 @@
             let model = ModelName::new(model);
             for request in 0..requests {
                 let at = NOW + Millis(u64::from(request) * 10_000 / u64::from(requests));
-                meter.note_asked(at, &model, prompt);
+                meter.record_request(at, &model, prompt);
             }
-            meter.note_answered(&model, 10);
+            meter.record_answer(&model, 10);
         }
         let mut planner = planner();
         planner.set_spec(even_spec());
--- a/crates/groups/tests/lives.rs
+++ b/crates/groups/tests/lives.rs
@@ -92,7 +92,7 @@
     let mut planner = planner();
     show(&ups, &mut planner);
     for after in [1, 60] {
-        planner.note_report(
+        planner.record_query_outcome(
             &incarnation("u3"),
             &QueryOutcome::Silent,
             NOW + Millis(after),
@@ -100,14 +100,14 @@
     }
     show_again(&ups, &["u3"], &mut planner, NOW + Millis(100));
     // A question to the earlier run that runs out of time now.
-    planner.note_report(&incarnation("u3"), &QueryOutcome::Silent, NOW + Millis(110));
-    planner.note_report(&incarnation("u3"), &QueryOutcome::Gone, NOW + Millis(120));
+    planner.record_query_outcome(&incarnation("u3"), &QueryOutcome::Silent, NOW + Millis(110));
+    planner.record_query_outcome(&incarnation("u3"), &QueryOutcome::Gone, NOW + Millis(120));
     let actions = planner.step(NOW + Millis(130));
     assert_eq!(orders(&actions), ["u3: stage b", "u4: stage b"]);
     // Doubts about a leader's earlier run say nothing of the later one.
     show_again(&ups, &["u1", "u3"], &mut planner, NOW + Millis(200));
     assert_eq!(
-        planner.note_quiet(&incarnation("u1"), true, NOW + Millis(210)),
+        planner.record_stall(&incarnation("u1"), true, NOW + Millis(210)),
         []
     );
 }
@@ -165,7 +165,7 @@
         born: Some(UnixMillis(2)),
         ..report()
     };
-    planner.note_report(&incarnation("u2"), &QueryOutcome::Answered(restarted), NOW);
+    planner.record_query_outcome(&incarnation("u2"), &QueryOutcome::Answered(restarted), NOW);
     let actions = planner.step(NOW);
     assert!(
         orders(&actions).contains(&"u1: leave".to_owned()),
@@ -174,10 +174,10 @@
     // The entry of the earlier run is read again, and so is an answer of it that was on its way.
     show(&ups, &mut planner);
     let old = QueryOutcome::Answered(report());
-    planner.note_report(&incarnation("u2"), &old, NOW + Millis(10));
+    planner.record_query_outcome(&incarnation("u2"), &old, NOW + Millis(10));
     let request = requests(&actions).remove(0);
-    planner.note_order(&request, &OrderOutcome::Unknown("lost".to_owned()));
-    planner.note_report(&incarnation("u1"), &old, NOW + Millis(20));
+    planner.record_order_outcome(&request, &OrderOutcome::Unknown("lost".to_owned()));
+    planner.record_query_outcome(&incarnation("u1"), &old, NOW + Millis(20));
     let actions = planner.step(NOW + Millis(600));
     assert!(
         orders(&actions).contains(&"u1: leave".to_owned()),
--- a/crates/groups/tests/silence.rs
+++ b/crates/groups/tests/silence.rs
@@ -19,9 +19,9 @@
     show(&ups, &mut planner);
     for round in 0..4 {
         let now = NOW + Millis(round * 1_000);
-        planner.note_quiet(&incarnation("u1"), true, now);
+        planner.record_stall(&incarnation("u1"), true, now);
         for id in ["u1", "u2"] {
-            planner.note_report(&incarnation(id), &QueryOutcome::Unheard, now);
+            planner.record_query_outcome(&incarnation(id), &QueryOutcome::Unheard, now);
         }
         let actions = planner.step(now + Millis(60));
         let orders = actions
@@ -42,7 +42,7 @@
     show(&ups, &mut planner);
     quiet(&mut planner, "u1", NOW);
     let report = QueryOutcome::Answered(report());
-    planner.note_report(&incarnation("u2"), &report, NOW);
+    planner.record_query_outcome(&incarnation("u2"), &report, NOW);
     let now = NOW + Millis(200);
     let actions = planner.step(now);
     let hold = GroupAction::Hold {
@@ -56,7 +56,7 @@
     let actions = planner.step(now + Millis(100));
     assert!(!orders(&actions).iter().any(|order| order.starts_with("u2")));
     let held = [UpstreamId::new("u1"), UpstreamId::new("u2")];
-    planner.note_hold(&GroupId::new("a.7"), &held, true);
+    planner.record_hold(&GroupId::new("a.7"), &held, true);
     let actions = planner.step(now + Millis(200));
     assert_eq!(
         orders(&actions)
@@ -71,10 +71,10 @@
         }
         _ => None,
     });
-    planner.note_order(&request.expect("it was ordered"), &OrderOutcome::Holds);
+    planner.record_order_outcome(&request.expect("it was ordered"), &OrderOutcome::Holds);
     let left = [ups[0], up("u2", Some("a")), ups[2]];
     show(&left, &mut planner);
-    planner.note_report(&incarnation("u1"), &QueryOutcome::Silent, now);
+    planner.record_query_outcome(&incarnation("u1"), &QueryOutcome::Silent, now);
     let actions = planner.step(now + Millis(4_000));
     assert!(
         !orders(&actions).iter().any(|order| order.starts_with("u2")),
@@ -102,12 +102,12 @@
     let mut ended_after = None;
     for round in 1..=4 {
         let now = NOW + Millis(round * 300);
-        planner.note_quiet(&leader, true, now);
+        planner.record_stall(&leader, true, now);
         for _ in 0..10 {
-            planner.note_report(&leader, &report, now);
+            planner.record_query_outcome(&leader, &report, now);
         }
-        planner.note_report(&other, &QueryOutcome::Unheard, now);
-        planner.note_quiet(&leader, true, now + Millis(10));
+        planner.record_query_outcome(&other, &QueryOutcome::Unheard, now);
+        planner.record_stall(&leader, true, now + Millis(10));
         let actions = planner.step(now + Millis(20));
         if orders(&actions).contains(&"u1: leave".to_owned()) {
             ended_after.get_or_insert(round);
@@ -169,18 +169,18 @@
         let mut planner = planner();
         show(&ups, &mut planner);
         let report = QueryOutcome::Answered(report());
-        planner.note_quiet(&incarnation("u1"), true, NOW);
-        planner.note_report(&incarnation("u1"), &report, NOW);
+        planner.record_stall(&incarnation("u1"), true, NOW);
+        planner.record_query_outcome(&incarnation("u1"), &report, NOW);
         for after in [1, 60] {
             let at = NOW + Millis(after);
-            planner.note_report(&incarnation("u2"), &QueryOutcome::Silent, at);
+            planner.record_query_outcome(&incarnation("u2"), &QueryOutcome::Silent, at);
         }
         if !case.is_listed {
             show(&ups[..1], &mut planner);
         }
         if let Some(is_certain) = case.quiet {
-            planner.note_quiet(&incarnation("u1"), is_certain, NOW + Millis(200));
-            planner.note_report(&incarnation("u1"), &report, NOW + Millis(201));
+            planner.record_stall(&incarnation("u1"), is_certain, NOW + Millis(200));
+            planner.record_query_outcome(&incarnation("u1"), &report, NOW + Millis(201));
         }
         let actions = planner.step(NOW + Millis(1 + case.after));
         let ends = orders(&actions).contains(&"u1: leave".to_owned());
@@ -211,11 +211,11 @@
     // The member is heard of first: the leader is asked once more before anybody leaves.
     let now = NOW + Millis(12_000);
     let report = QueryOutcome::Answered(report());
-    planner.note_report(&other, &report, now);
-    planner.note_hold(&GroupId::new("a.7"), &[leader.id.clone(), other.id], true);
+    planner.record_query_outcome(&other, &report, now);
+    planner.record_hold(&GroupId::new("a.7"), &[leader.id.clone(), other.id], true);
     let actions = planner.step(now);
     assert_eq!(orders(&actions), Vec::<String>::new(), "{actions:?}");
-    planner.note_report(&leader, &report, now + Millis(100));
+    planner.record_query_outcome(&leader, &report, now + Millis(100));
     let actions = planner.step(now + Millis(100));
     assert_eq!(orders(&actions), Vec::<String>::new(), "{actions:?}");
 }
@@ -238,24 +238,24 @@
     let mut planner = planner();
     show(&ups, &mut planner);
     quiet(&mut planner, "u1", NOW);
-    planner.note_report(&incarnation("u2"), &answer, NOW);
+    planner.record_query_outcome(&incarnation("u2"), &answer, NOW);
     let actions = planner.step(NOW + Millis(200));
     assert!(actions.contains(&hold), "{actions:?}");
     obey(&mut planner, &actions);
-    planner.note_hold(&group, &held, true);
+    planner.record_hold(&group, &held, true);
     // The leader is back before anybody was told to leave.
-    planner.note_report(&incarnation("u1"), &answer, NOW + Millis(300));
+    planner.record_query_outcome(&incarnation("u1"), &answer, NOW + Millis(300));
     let actions = planner.step(NOW + Millis(400));
     assert_eq!(orders(&actions).iter().filter(|it| is_u2(it)).count(), 0);
     // A minute later no VM that took over would find what was kept.
     let later = NOW + Millis(60_000);
     quiet(&mut planner, "u1", later);
-    planner.note_report(&incarnation("u2"), &answer, later);
+    planner.record_query_outcome(&incarnation("u2"), &answer, later);
     let actions = planner.step(later + Millis(200));
     assert!(actions.contains(&hold), "{actions:?}");
     assert_eq!(orders(&actions).iter().filter(|it| is_u2(it)).count(), 0);
     obey(&mut planner, &actions);
-    planner.note_hold(&group, &held, true);
+    planner.record_hold(&group, &held, true);
     let actions = planner.step(later + Millis(300));
     assert!(
         orders(&actions).contains(&"u2: leave".to_owned()),
--- a/crates/groups/tests/size.rs
+++ b/crates/groups/tests/size.rs
@@ -31,7 +31,7 @@
     let (cold, actions) = timed(&mut planner, now);
     for action in &actions {
         if let GroupAction::Order(request) = action {
-            planner.note_order(request, &OrderOutcome::Begun);
+            planner.record_order_outcome(request, &OrderOutcome::Begun);
         }
     }
     let (loading, _) = timed(&mut planner, now + Millis(100));
--- a/crates/groups/tests/support/short.rs
+++ b/crates/groups/tests/support/short.rs
@@ -108,7 +108,7 @@
         IndexMap::new(),
         NOW,
     );
-    planner.note_traffic();
+    planner.record_traffic();
     planner
 }
 
@@ -147,16 +147,16 @@
 pub fn obey(planner: &mut GroupPlanner, actions: &[GroupAction]) {
     for action in actions {
         if let GroupAction::Order(request) = action {
-            planner.note_order(request, &OrderOutcome::Begun);
+            planner.record_order_outcome(request, &OrderOutcome::Begun);
         }
     }
 }
 
 pub fn quiet(planner: &mut GroupPlanner, id: &str, now: Millis) {
     let id = incarnation(id);
-    planner.note_quiet(&id, true, now);
-    planner.note_report(&id, &QueryOutcome::Silent, now);
+    planner.record_stall(&id, true, now);
+    planner.record_query_outcome(&id, &QueryOutcome::Silent, now);
     let actions = planner.step(now + Millis(60));
     obey(planner, &actions);
-    planner.note_report(&id, &QueryOutcome::Silent, now + Millis(60));
+    planner.record_query_outcome(&id, &QueryOutcome::Silent, now + Millis(60));
 }
--- a/crates/groups/tests/support/world.rs
+++ b/crates/groups/tests/support/world.rs
@@ -291,7 +291,7 @@
         if is_current {
             planner.set_directory(entries.iter(), revision, now);
         }
-        planner.note_traffic();
+        planner.record_traffic();
         for action in self.planners[index].0.step(now) {
             self.act(index, action);
         }
@@ -301,7 +301,7 @@
         match action {
             GroupAction::Hold { group, members } => {
                 let planner = &mut self.planners[index].0;
-                planner.note_hold(&group, &members, true);
+                planner.record_hold(&group, &members, true);
                 self.holds.insert(group, (members, self.now + 12_000));
             }
             GroupAction::Query(target) => {
@@ -310,7 +310,7 @@
                 let now = Millis(self.now);
                 self.planners[index]
                     .0
-                    .note_report(&target.incarnation, &outcome, now);
+                    .record_query_outcome(&target.incarnation, &outcome, now);
             }
             GroupAction::Order(request) => {
                 let is_late = self.random.random_bool(self.options.late_chance);
@@ -321,7 +321,9 @@
                 };
                 if is_lost {
                     let outcome = OrderOutcome::Unknown("lost".to_owned());
-                    self.planners[index].0.note_order(&request, &outcome);
+                    self.planners[index]
+                        .0
+                        .record_order_outcome(&request, &outcome);
                 }
                 self.flying.push(Flying {
                     at: self.now + delay,
@@ -374,7 +376,7 @@
             if order.is_answered {
                 self.planners[order.planner]
                     .0
-                    .note_order(&order.request, &outcome);
+                    .record_order_outcome(&order.request, &outcome);
             }
         }
     }
