--- a/crates/gateway/src/front/server.rs
+++ b/crates/gateway/src/front/server.rs
@@ -220,7 +220,7 @@
         front.quota.borrow_mut().retain(is_listed, now);
         show_limited(&front);
         show_backing_off(&front);
-        let uses = front.demand.borrow_mut().uses(front.now());
+        let uses = front.demand.borrow_mut().demands(front.now());
         front.shared.demand.store(Arc::new(uses));
     }
 }
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
 use arc_swap::ArcSwap;
-use bergamot_groups::ModelUse;
+use bergamot_groups::ModelDemand;
 use bergamot_peer::QuietNotice;
 use bergamot_ports::{ServingBounds, VmSite};
 use bergamot_quarantine::{QuarantineRecord, QuarantineState};
@@ -52,7 +52,7 @@
     /// When the signal to stop came, in milliseconds; 0: not yet.
     stop_began: AtomicU64,
     /// What callers ask of each model here.
-    pub demand: ArcSwap<IndexMap<ModelName, ModelUse>>,
+    pub demand: ArcSwap<IndexMap<ModelName, ModelDemand>>,
     /// Leaders from which nothing comes, for the coordinator.
     pub quiet: mpsc::Sender<QuietNotice>,
     /// Requests under which upstreams ended.
--- a/crates/groups/src/demand.rs
+++ b/crates/groups/src/demand.rs
@@ -19,7 +19,7 @@
 
 /// What is asked of one model, as seen lately.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
-pub struct ModelUse {
+pub struct ModelDemand {
     /// Requests, the recent ones in full.
     pub requests: f64,
     /// Tokens of their prompts.
@@ -31,7 +31,7 @@
 /// Counts what callers ask of each model, served or not.
 #[derive(Debug, Default)]
 pub struct DemandMeter {
-    uses: IndexMap<ModelName, ModelUse>,
+    uses: IndexMap<ModelName, ModelDemand>,
     faded_at: Millis,
 }
 
@@ -53,7 +53,7 @@
     }
 
     /// What is asked of each model.
-    pub fn uses(&mut self, now: Millis) -> IndexMap<ModelName, ModelUse> {
+    pub fn demands(&mut self, now: Millis) -> IndexMap<ModelName, ModelDemand> {
         self.fade(now);
         self.uses.clone()
     }
@@ -77,7 +77,7 @@
 /// upstreams, three days).
 pub(crate) fn needed_shares(
     spec: &EngineSpec,
-    uses: &IndexMap<ModelName, ModelUse>,
+    uses: &IndexMap<ModelName, ModelDemand>,
 ) -> Option<IndexMap<ModelName, f64>> {
     let speed = spec.speed?;
     let mut needs = IndexMap::new();
--- a/crates/groups/src/lib.rs
+++ b/crates/groups/src/lib.rs
@@ -25,6 +25,6 @@
 mod track;
 mod view;
 
-pub use demand::{DemandMeter, ModelUse};
+pub use demand::{DemandMeter, ModelDemand};
 pub use options::GroupOptions;
 pub use planner::{GroupAction, GroupPlanner, QueryOutcome};
--- a/crates/groups/src/planner.rs
+++ b/crates/groups/src/planner.rs
@@ -9,7 +9,7 @@
 use bergamot_types::prelude::*;
 use indexmap::{IndexMap, IndexSet};
 
-use crate::demand::{ModelUse, needed_shares};
+use crate::demand::{ModelDemand, needed_shares};
 use crate::forming::FormingGroup;
 use crate::options::GroupOptions;
 use crate::track::UpstreamTrack;
@@ -52,7 +52,7 @@
     pub(crate) options: GroupOptions,
     pub(crate) spec: EngineSpec,
     /// What is asked of each model.
-    uses: IndexMap<ModelName, ModelUse>,
+    uses: IndexMap<ModelName, ModelDemand>,
     pub(crate) fence: u64,
     pub(crate) epoch: u64,
     pub(crate) is_fenced: bool,
@@ -131,7 +131,7 @@
     }
 
     /// Takes over what callers ask of each model.
-    pub fn set_demand(&mut self, uses: IndexMap<ModelName, ModelUse>) {
+    pub fn set_demand(&mut self, uses: IndexMap<ModelName, ModelDemand>) {
         self.uses = uses;
     }
 
--- a/crates/groups/tests/demand.rs
+++ b/crates/groups/tests/demand.rs
@@ -74,7 +74,7 @@
         }
         let mut planner = planner();
         planner.set_spec(even_spec());
-        planner.set_demand(meter.uses(NOW + Millis(10_000)));
+        planner.set_demand(meter.demands(NOW + Millis(10_000)));
         let ups = [
             group("u1", "a.7", 0, "a"),
             group("u2", "a.7", 1, "a"),
