--- a/crates/groups/src/demand.rs
+++ b/crates/groups/src/demand.rs
@@ -1,111 +1,113 @@
-//! What is asked of each model, and the parts of the upstreams that it needs.
+//! Demand for each model, and the shares of the upstreams that follow from it.
 
 use bergamot_ports::EngineSpec;
 use bergamot_types::prelude::*;
 use indexmap::IndexMap;
 
-/// Time after which a request counts a third of a new one. Long against bursts of some seconds, short
-/// against a day's changes.
-const MEMORY: Millis = Millis(20_000);
-/// Requests that the declared shares count as much as. A VM that sees 20 requests a second goes by what it sees for
-/// four fifths, one that sees six for a half.
-const DECLARED_WEIGHT: f64 = 100.0;
-/// Factor by which what a model needs must differ from what is declared to go before it. What one VM sees is off by
-/// a tenth or so, and callers who come back count twice; following that cost 0.013 of the worth of four days whose
-/// declared shares are right (two plays each).
-const CLEAR_FACTOR: f64 = 1.25;
-/// Weight of a new answer in the mean of answers' lengths.
-const NEW_WEIGHT: f64 = 0.05;
+/// Time after which a request counts one e-th, about a third. Long compared to bursts of some
+/// seconds, short compared to changes over a day.
+const DECAY_TIME: Millis = Millis(20_000);
+/// Number of requests that the declared shares weigh as much as. A VM with 20 requests a second
+/// gives four fifths of the weight to observed demand, one with six requests a second a half.
+const DECLARED_WEIGHT_REQUESTS: f64 = 100.0;
+/// Minimum ratio between a model's needed and declared share at which the needed share is used.
+/// What one VM observes is off by about a tenth, and returning callers count twice; following such
+/// differences cost 0.013 of the score on four days whose declared shares are right (two runs
+/// each).
+const MIN_SHARE_RATIO: f64 = 1.25;
+/// Weight of a new answer in the moving average of answer lengths.
+const ANSWER_WEIGHT: f64 = 0.05;
 
-/// What is asked of one model, as seen lately.
+/// Recent demand for one model.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
 pub struct ModelDemand {
-    /// Requests, the recent ones in full.
+    /// Number of requests, with exponential decay.
     pub requests: f64,
-    /// Tokens of their prompts.
+    /// Number of prompt tokens, with the same decay.
     pub prompt_tokens: f64,
-    /// Events of an answer on the mean; none before the first whole answer.
-    pub events: Option<f64>,
+    /// Average number of events in an answer; none before the first complete answer.
+    pub mean_events: Option<f64>,
 }
 
-/// Counts what callers ask of each model, served or not.
+/// Measures the demand for each model, whether its requests are served or not.
 #[derive(Debug, Default)]
 pub struct DemandMeter {
-    uses: IndexMap<ModelName, ModelDemand>,
-    faded_at: Millis,
+    demands: IndexMap<ModelName, ModelDemand>,
+    decayed_at: Millis,
 }
 
 impl DemandMeter {
-    /// Counts a caller's request.
+    /// Records a caller's request.
     pub fn record_request(&mut self, now: Millis, model: &ModelName, prompt_tokens: u32) {
-        self.fade(now);
-        let asked = self.uses.entry(model.clone()).or_default();
-        asked.requests += 1.0;
-        asked.prompt_tokens += f64::from(prompt_tokens);
+        self.decay(now);
+        let demand = self.demands.entry(model.clone()).or_default();
+        demand.requests += 1.0;
+        demand.prompt_tokens += f64::from(prompt_tokens);
     }
 
-    /// Notes how many events a whole answer had.
+    /// Records the number of events of a complete answer.
     pub fn record_answer(&mut self, model: &ModelName, events: u64) {
-        let asked = self.uses.entry(model.clone()).or_default();
+        let demand = self.demands.entry(model.clone()).or_default();
         let events = events as f64;
-        let mean = asked.events.get_or_insert(events);
-        *mean += (events - *mean) * NEW_WEIGHT;
+        let mean = demand.mean_events.get_or_insert(events);
+        *mean += (events - *mean) * ANSWER_WEIGHT;
     }
 
-    /// What is asked of each model.
+    /// Returns the demand for each model.
     pub fn demands(&mut self, now: Millis) -> IndexMap<ModelName, ModelDemand> {
-        self.fade(now);
-        self.uses.clone()
+        self.decay(now);
+        self.demands.clone()
     }
 
-    fn fade(&mut self, now: Millis) {
-        let passed = now.since(self.faded_at).0 as f64;
-        let factor = (-passed / MEMORY.0 as f64).exp();
-        for asked in self.uses.values_mut() {
-            asked.requests *= factor;
-            asked.prompt_tokens *= factor;
+    fn decay(&mut self, now: Millis) {
+        let elapsed = now.since(self.decayed_at).0 as f64;
+        let factor = (-elapsed / DECAY_TIME.0 as f64).exp();
+        for demand in self.demands.values_mut() {
+            demand.requests *= factor;
+            demand.prompt_tokens *= factor;
         }
-        self.faded_at = self.faded_at.max(now);
+        self.decayed_at = self.decayed_at.max(now);
     }
 }
 
-/// The part of the upstreams that each model needs: what is asked of it where that has been seen, and what
-/// the configuration declares in so far as little has. None where that is about what is declared, or the engines'
-/// speed is not known.
+/// Returns the share of the upstreams that each model needs: a mean of observed and declared
+/// demand, in which observed demand weighs more the more requests were seen. Returns none if the
+/// result is close to the declared shares, or if the speed of the engines is unknown.
 ///
-/// Where 86 in 100 requests are for a model with 43 in 100 of the declared work it gains 0.046 of a day's worth (57
-/// upstreams, three days).
+/// Gains 0.046 of a day's score where 86 of 100 requests are for a model with 43 of 100 parts of
+/// the declared load (57 upstreams, three days).
 pub(crate) fn needed_shares(
     spec: &EngineSpec,
-    uses: &IndexMap<ModelName, ModelDemand>,
+    demands: &IndexMap<ModelName, ModelDemand>,
 ) -> Option<IndexMap<ModelName, f64>> {
     let speed = spec.speed?;
     let mut needs = IndexMap::new();
     let mut requests = 0.0;
     for model in spec.models.values() {
-        let asked = uses.get(&model.name).copied().unwrap_or_default();
+        let demand = demands.get(&model.name).copied().unwrap_or_default();
         let speed = speed.scaled_by_pace(model.pace);
         let slots = f64::from(spec.slots.max(1));
-        let reading = asked.prompt_tokens / speed.tokens_per_ms;
-        let writing = asked.requests * asked.events.unwrap_or(1.0) * speed.pass_ms(slots) / slots;
-        requests += asked.requests;
+        let prompt_ms = demand.prompt_tokens / speed.tokens_per_ms;
+        let answer_ms =
+            demand.requests * demand.mean_events.unwrap_or(1.0) * speed.pass_ms(slots) / slots;
+        requests += demand.requests;
         needs.insert(
             model.name.clone(),
-            (reading + writing) * model.group_size as f64,
+            (prompt_ms + answer_ms) * model.group_size as f64,
         );
     }
-    let whole: f64 = needs.values().sum();
-    let declared: f64 = spec.models.values().map(|it| it.demand_share).sum();
-    if whole <= 0.0 || declared <= 0.0 {
+    let total_need: f64 = needs.values().sum();
+    let total_declared: f64 = spec.models.values().map(|model| model.demand_share).sum();
+    if total_need <= 0.0 || total_declared <= 0.0 {
         return None;
     }
-    let seen = requests / (requests + DECLARED_WEIGHT);
-    let mut is_clear = false;
+    let observed_weight = requests / (requests + DECLARED_WEIGHT_REQUESTS);
+    let mut is_distinct = false;
     for (name, need) in &mut needs {
-        let declared_share = spec.models[name].demand_share / declared;
-        *need = *need / whole * seen + declared_share * (1.0 - seen);
-        let factor = *need / declared_share.max(1e-3);
-        is_clear |= !(1.0 / CLEAR_FACTOR..=CLEAR_FACTOR).contains(&factor);
+        let declared_share = spec.models[name].demand_share / total_declared;
+        *need = *need / total_need * observed_weight + declared_share * (1.0 - observed_weight);
+        let ratio = *need / declared_share.max(1e-3);
+        is_distinct |= !(1.0 / MIN_SHARE_RATIO..=MIN_SHARE_RATIO).contains(&ratio);
     }
-    is_clear.then_some(needs)
+    is_distinct.then_some(needs)
 }
--- a/crates/groups/src/forming.rs
+++ b/crates/groups/src/forming.rs
@@ -4,57 +4,61 @@
 use bergamot_types::prelude::*;
 use indexmap::IndexMap;
 
-use crate::track::UpstreamTrack;
+use crate::upstream::UpstreamRecord;
 
-/// One group on its way to serving.
+/// A group that does not serve yet.
 #[derive(Clone, Debug)]
 pub(crate) struct FormingGroup {
     pub epoch: u64,
     pub model: ModelName,
     /// The members in order of rank.
     pub members: Vec<UpstreamId>,
-    pub since: Millis,
+    pub started_at: Millis,
 }
 
-/// What a forming group needs next.
+/// The next step of a forming group.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum FormingStep {
-    /// These orders; none while members join.
+    /// Send these orders; empty while members are joining.
     Orders(Vec<(UpstreamId, GroupOrder)>),
-    /// It serves.
+    /// The group serves.
     Done,
-    /// It cannot become whole.
+    /// The group cannot be completed.
     Abort(&'static str),
 }
 
 impl FormingGroup {
-    /// Looks at the members and says what is next.
+    /// Returns the next step, given the state of the members.
     pub fn step(
         &self,
         id: &GroupId,
-        tracks: &IndexMap<UpstreamId, UpstreamTrack>,
-        silent_limit: u32,
+        records: &IndexMap<UpstreamId, UpstreamRecord>,
+        max_unanswered: u32,
     ) -> FormingStep {
         let mut orders = Vec::new();
         let mut ready = 0;
         for (rank, member) in self.members.iter().enumerate() {
-            let Some(track) = tracks.get(member).filter(|track| track.is_listed) else {
-                return FormingStep::Abort("a member is not listed any more");
+            let Some(record) = records.get(member).filter(|record| record.is_listed) else {
+                return FormingStep::Abort("a member is no longer listed");
             };
-            if track.entry.state == UpstreamState::Draining {
+            if record.entry.state == UpstreamState::Draining {
                 return FormingStep::Abort("a member is leaving");
             }
-            if track.is_gone || track.silent >= silent_limit {
+            if record.has_exited || record.unanswered >= max_unanswered {
                 return FormingStep::Abort("a member does not answer");
             }
-            if !track.is_in(id, self.epoch) {
-                orders.push((member.clone(), self.join(id)));
+            if !record.is_member_of(id, self.epoch) {
+                orders.push((member.clone(), self.join_order(id)));
                 continue;
             }
-            let state = track.entry.membership.as_ref().map(|it| it.state);
+            let state = record
+                .entry
+                .membership
+                .as_ref()
+                .map(|membership| membership.state);
             match state {
                 Some(MemberState::Open) if rank == 0 => return FormingStep::Done,
-                Some(MemberState::Broken) => return FormingStep::Abort("it broke"),
+                Some(MemberState::Broken) => return FormingStep::Abort("the group broke"),
                 Some(MemberState::Ready) => ready += 1,
                 _ => {}
             }
@@ -69,7 +73,7 @@
         FormingStep::Orders(orders)
     }
 
-    fn join(&self, id: &GroupId) -> GroupOrder {
+    fn join_order(&self, id: &GroupId) -> GroupOrder {
         GroupOrder::Join {
             group: id.clone(),
             epoch: self.epoch,
--- a/crates/groups/src/lib.rs
+++ b/crates/groups/src/lib.rs
@@ -1,15 +1,15 @@
-//! Decides which upstreams form which replica group, from what they say of themselves.
+//! Decides which upstreams form which replica group, based on what they advertise.
 //!
-//! The upstreams' own directory entries are the only record of membership: a coordinator that
-//! takes over reads them and goes on. Decisions only: no I/O, no clock, no random numbers. See
-//! [`GroupPlanner::step`].
+//! The upstreams' directory entries are the only record of membership: a coordinator that takes
+//! over reads them and continues from there. The crate makes decisions only: it does no I/O, reads
+//! no clock and draws no random numbers. See [`GroupPlanner::step`].
 //!
-//! What keeps the promises:
-//! - a group is opened only when every member says that it joined the same group and epoch;
-//! - a member is asked into another group only when the leader of its old one has left, has never
-//!   opened, is broken or gone, or has stood still for longer than it takes to break;
-//! - each order carries the number of orders its upstream has begun, so that one that is
-//!   delivered late finds itself out of date.
+//! These rules uphold the guarantees:
+//! - A group is opened only when every member advertises that it joined the same group and epoch.
+//! - A member is ordered into another group only if the leader of its old group has left, never
+//!   opened, is broken, has exited, or has been stalled for longer than it takes to break.
+//! - Each order carries the number of orders that its upstream has begun, so that the upstream
+//!   rejects an order that is delivered late.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
@@ -17,12 +17,12 @@
 mod assign;
 pub mod demand;
 mod forming;
-mod give;
-mod hear;
+mod issue;
+mod observe;
 mod options;
 pub mod planner;
 mod step;
-mod track;
+mod upstream;
 mod view;
 
 pub use demand::{DemandMeter, ModelDemand};
--- a/crates/groups/src/options.rs
+++ b/crates/groups/src/options.rs
@@ -1,38 +1,40 @@
-//! Times and counts of the planner.
+//! Times and limits of the planner.
 
 use bergamot_types::Millis;
 
-/// What operators can set about groups.
+/// Options for the formation of groups.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct GroupOptions {
-    /// Time for which a group that lost a member stands still before it breaks. The platform's.
+    /// How long a group that lost a member stalls before it breaks. Set by the platform.
     pub stall_time: Millis,
-    /// Added to it before a member of such a group is used again, for clocks and messages.
+    /// Added to the stall time before a member of such a group is used again. Covers clock
+    /// differences and message delays.
     pub stall_margin: Millis,
-    /// Time after which an order whose effect does not show is given again. Several times the way
-    /// to an upstream and back through the directory.
-    pub order_retry: Millis,
-    /// Time after which an unreachable upstream is asked again.
-    pub ask_again: Millis,
-    /// Unanswered questions in a row after which an upstream counts as dead.
-    pub silent_limit: u32,
-    /// One in so many upstreams of a fabric domain is kept free for repairs.
+    /// Delay before an order without visible effect is sent again. Several times the round trip to
+    /// an upstream and back through the directory.
+    pub order_retry_delay: Millis,
+    /// Interval between queries to an unreachable upstream.
+    pub query_interval: Millis,
+    /// Number of consecutive unanswered queries after which an upstream is presumed crashed.
+    pub max_unanswered: u32,
+    /// One in this many upstreams of a fabric domain is kept free for repairs.
     pub spare_divisor: usize,
-    /// At the first start, time without a new upstream in the directory after which groups are formed.
-    /// Of those that are listed first, only small groups could be formed, and all in the same
-    /// failure domain. A little less than the time between two of an upstream's own writes.
+    /// On the first start, groups are formed once no new upstream was listed for this long. The
+    /// upstreams that are listed first would yield only small groups, all in the same failure
+    /// domain. Slightly shorter than the interval between an upstream's own writes.
     pub settle_time: Millis,
-    /// The longest such wait: what is listed by then is used.
-    pub settle_limit: Millis,
-    /// Time after which an incomplete group that is being formed is given up.
-    pub forming_limit: Millis,
-    /// Time for which members may be told to leave after they were asked to be held. Several times what the store takes to
-    /// keep a hold; the hold lasts for this and [`Self::hold_time`] and for the change of the coordinator.
-    pub hold_use: Millis,
+    /// Maximum wait on the first start; upstreams that are listed by then are used.
+    pub max_settle_time: Millis,
+    /// Time after which an incomplete forming group is given up.
+    pub forming_timeout: Millis,
+    /// How long members may be ordered to leave after a hold for them was requested. Several times
+    /// what the store takes to write a hold; the stored hold covers this time, [`Self::hold_time`]
+    /// and a change of coordinator.
+    pub hold_validity: Millis,
 }
 
 impl GroupOptions {
-    /// Time for which members of a group whose leader may stand open are not used again.
+    /// Returns how long the members of a group whose leader may still be open are not used again.
     pub fn hold_time(&self) -> Millis {
         self.stall_time + self.stall_margin
     }
@@ -43,14 +45,14 @@
         Self {
             stall_time: Millis(4_000),
             stall_margin: Millis(400),
-            order_retry: Millis(500),
-            ask_again: Millis(1_000),
-            silent_limit: 2,
+            order_retry_delay: Millis(500),
+            query_interval: Millis(1_000),
+            max_unanswered: 2,
             spare_divisor: 5,
             settle_time: Millis(700),
-            settle_limit: Millis(4_000),
-            forming_limit: Millis(8_000),
-            hold_use: Millis(3_000),
+            max_settle_time: Millis(4_000),
+            forming_timeout: Millis(8_000),
+            hold_validity: Millis(3_000),
         }
     }
 }
--- a/crates/groups/src/planner.rs
+++ b/crates/groups/src/planner.rs
@@ -1,4 +1,4 @@
-//! The coordinator's state and its next orders.
+//! State of the coordinator and its next actions.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -12,19 +12,20 @@
 use crate::demand::{ModelDemand, needed_shares};
 use crate::forming::FormingGroup;
 use crate::options::GroupOptions;
-use crate::track::UpstreamTrack;
+use crate::upstream::UpstreamRecord;
 use crate::view::{GroupKey, group_model};
 
-/// Something the coordinator wants done.
+/// An action that the coordinator requests.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum GroupAction {
-    /// Give an order and tell [`GroupPlanner::record_order_outcome`] what became of it.
+    /// Send an order and report its outcome to [`GroupPlanner::record_order_outcome`].
     Order(OrderRequest),
-    /// Ask for a report and tell [`GroupPlanner::record_query_outcome`].
+    /// Query an upstream's report and pass the outcome to [`GroupPlanner::record_query_outcome`].
     Query(UpstreamTarget),
-    /// Keep these where a later coordinator finds them, for at least [`GroupOptions::hold_use`] and then
-    /// [`GroupOptions::hold_time`], and tell [`GroupPlanner::record_hold`]: they are about to leave a group whose leader may
-    /// still stand open.
+    /// Store a hold on these members, which are about to leave a group whose leader may still be
+    /// open. It must be readable by a later coordinator for at least
+    /// [`GroupOptions::hold_validity`] plus [`GroupOptions::hold_time`]. Report the result to
+    /// [`GroupPlanner::record_hold`].
     Hold {
         /// The group.
         group: GroupId,
@@ -33,16 +34,17 @@
     },
 }
 
-/// What became of a question.
+/// Outcome of a query.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum QueryOutcome {
-    /// It answered.
+    /// The upstream answered.
     Answered(UpstreamReport),
-    /// Its process is gone.
+    /// Its process has exited.
     Gone,
     /// No answer.
     Silent,
-    /// No answer, but this process stood still while it waited: that says nothing of the upstream.
+    /// No answer, but this process was paused while it waited, so the missing answer says nothing
+    /// about the upstream.
     Unheard,
 }
 
@@ -51,100 +53,102 @@
 pub struct GroupPlanner {
     pub(crate) options: GroupOptions,
     pub(crate) spec: EngineSpec,
-    /// What is asked of each model.
-    uses: IndexMap<ModelName, ModelDemand>,
+    /// Demand for each model.
+    demands: IndexMap<ModelName, ModelDemand>,
     pub(crate) fence: u64,
     pub(crate) epoch: u64,
     pub(crate) is_fenced: bool,
-    /// Whether there was no coordinator before: an upstream that was not ordered has begun none.
-    pub(crate) is_first: bool,
-    /// Whether requests come in.
+    /// Whether there was no coordinator before, so that an upstream that was not ordered has begun
+    /// no orders.
+    pub(crate) is_first_term: bool,
+    /// Whether requests arrive.
     pub(crate) has_traffic: bool,
-    /// When it took over.
-    pub(crate) began: Millis,
+    /// When this coordinator took over.
+    pub(crate) started_at: Millis,
     /// When an upstream was last listed for the first time.
-    pub(crate) listed_at: Millis,
+    pub(crate) last_discovery_at: Millis,
     /// Members that earlier coordinators held, by group.
-    pub(crate) inherited: IndexMap<GroupId, Vec<UpstreamId>>,
-    /// Until when none of those is used.
-    pub(crate) inherited_until: Millis,
-    /// Fabric domains in which a group lacks members while its leader may stand open.
-    pub(crate) standing: IndexSet<FabricDomain>,
-    /// When loads were ordered, within the window of the weight store's rate.
+    pub(crate) inherited_holds: IndexMap<GroupId, Vec<UpstreamId>>,
+    /// End of the time during which those are not used.
+    pub(crate) inherited_holds_until: Millis,
+    /// Fabric domains in which a group lacks members while its leader may be open.
+    pub(crate) stalled_fabrics: IndexSet<FabricDomain>,
+    /// When loads were ordered, within the window of the weight store's rate limit.
     pub(crate) load_starts: VecDeque<Millis>,
-    /// Members that are held, by group.
+    /// Holds on members, by group.
     pub(crate) holds: IndexMap<GroupId, GroupHold>,
-    /// Questions that were answered so far.
-    pub(crate) answers_heard: u64,
-    /// The last state that was logged.
-    pub(crate) logged: String,
-    pub(crate) tracks: IndexMap<UpstreamId, UpstreamTrack>,
+    /// Number of queries answered so far.
+    pub(crate) answer_count: u64,
+    /// The state that was last logged.
+    pub(crate) last_logged_state: String,
+    pub(crate) records: IndexMap<UpstreamId, UpstreamRecord>,
     pub(crate) forming: IndexMap<GroupId, FormingGroup>,
-    /// Who leads, or led, each list of members.
+    /// The current or former leader of each member list.
     pub(crate) leaders: IndexMap<GroupKey, UpstreamId>,
 }
 
 impl GroupPlanner {
-    /// A coordinator that took over at `now` with fencing number `fence`. `is_first` says that
-    /// there was none before it; `inherited` are the members that earlier ones held, by
-    /// group.
+    /// Creates a coordinator that took over at `now` with fencing number `fence`. `is_first_term`
+    /// is set if there was no coordinator before it; `inherited_holds` are the members that earlier
+    /// coordinators held, by group.
     pub fn new(
         options: GroupOptions,
         spec: EngineSpec,
         fence: u64,
-        is_first: bool,
-        inherited: IndexMap<GroupId, Vec<UpstreamId>>,
+        is_first_term: bool,
+        inherited_holds: IndexMap<GroupId, Vec<UpstreamId>>,
         now: Millis,
     ) -> Self {
         Self {
-            began: now,
-            listed_at: now,
-            inherited_until: now + options.hold_time(),
-            inherited,
-            standing: IndexSet::new(),
-            answers_heard: 0,
+            started_at: now,
+            last_discovery_at: now,
+            inherited_holds_until: now + options.hold_time(),
+            inherited_holds,
+            stalled_fabrics: IndexSet::new(),
+            answer_count: 0,
             load_starts: VecDeque::new(),
             holds: IndexMap::new(),
-            logged: String::new(),
+            last_logged_state: String::new(),
             options,
             spec,
-            uses: IndexMap::new(),
+            demands: IndexMap::new(),
             fence,
             epoch: fence,
             is_fenced: false,
-            is_first,
-            has_traffic: !is_first,
-            tracks: IndexMap::new(),
+            is_first_term,
+            has_traffic: !is_first_term,
+            records: IndexMap::new(),
             forming: IndexMap::new(),
             leaders: IndexMap::new(),
         }
     }
 
-    /// Whether an upstream has seen a higher fencing number: another coordinator took over.
+    /// Whether an upstream has seen a higher fencing number, so that another coordinator has taken
+    /// over.
     pub fn is_fenced(&self) -> bool {
         self.is_fenced
     }
 
-    /// Takes over a new configuration.
+    /// Replaces the configuration.
     pub fn set_spec(&mut self, spec: EngineSpec) {
         self.spec = spec;
     }
 
-    /// Takes over what callers ask of each model.
-    pub fn set_demand(&mut self, uses: IndexMap<ModelName, ModelDemand>) {
-        self.uses = uses;
+    /// Replaces the measured demand for each model.
+    pub fn set_demand(&mut self, demands: IndexMap<ModelName, ModelDemand>) {
+        self.demands = demands;
     }
 
-    /// The configuration with the parts of the upstreams that the models need by what is asked.
-    pub(crate) fn needed_spec(&self) -> EngineSpec {
+    /// Returns the configuration with demand shares that follow the measured demand.
+    pub(crate) fn spec_with_demand(&self) -> EngineSpec {
         let mut spec = self.spec.clone();
-        for (name, share) in needed_shares(&spec, &self.uses).unwrap_or_default() {
+        for (name, share) in needed_shares(&spec, &self.demands).unwrap_or_default() {
             spec.models[&name].demand_share = share;
         }
         spec
     }
 
-    /// Takes over the directory, read at the store's `revision`.
+    /// Replaces the directory with the one read at the store's `revision`.
     pub fn set_directory<'a, Entries>(&mut self, entries: Entries, revision: u64, now: Millis)
     where
         Entries: IntoIterator<Item = &'a UpstreamEntry>,
@@ -152,40 +156,40 @@
         // Every change of a membership raises the store's revision, so this is higher than any
         // epoch that an earlier coordinator used.
         self.epoch = self.epoch.max(revision);
-        for track in self.tracks.values_mut() {
-            track.is_listed = false;
+        for record in self.records.values_mut() {
+            record.is_listed = false;
         }
-        let known = self.tracks.len();
-        let mut listed: IndexMap<SocketAddr, &UpstreamId> = IndexMap::new();
-        let mut left: Vec<(UpstreamId, GroupKey)> = Vec::new();
+        let known_count = self.records.len();
+        let mut listed_by_addr: IndexMap<SocketAddr, &UpstreamId> = IndexMap::new();
+        let mut departures: Vec<(UpstreamId, GroupKey)> = Vec::new();
         for entry in entries {
             let id = &entry.incarnation.id;
-            listed.insert(entry.addr, id);
-            let track = self
-                .tracks
+            listed_by_addr.insert(entry.addr, id);
+            let record = self
+                .records
                 .entry(id.clone())
-                .or_insert_with(|| UpstreamTrack::new(entry.clone()));
-            track.is_listed = true;
-            if track.entry.incarnation.is_newer_than(&entry.incarnation) {
-                // It reported its restart before its entry shows it.
+                .or_insert_with(|| UpstreamRecord::new(entry.clone()));
+            record.is_listed = true;
+            if record.entry.incarnation.is_newer_than(&entry.incarnation) {
+                // The upstream reported its restart before its entry shows it.
                 continue;
             }
-            let before = track.entry.membership.as_ref();
-            let is_restarted = entry.incarnation.is_newer_than(&track.entry.incarnation);
-            if let Some(before) = before.filter(|_| entry.membership.is_none()) {
-                left.push((id.clone(), (before.group.clone(), before.epoch)));
+            let previous = record.entry.membership.as_ref();
+            let is_restarted = entry.incarnation.is_newer_than(&record.entry.incarnation);
+            if let Some(previous) = previous.filter(|_| entry.membership.is_none()) {
+                departures.push((id.clone(), (previous.group.clone(), previous.epoch)));
             }
             if is_restarted {
                 log::info!("event=upstream_restarted upstream={:?}", entry.incarnation);
-                track.restart(entry.clone());
-            } else if track.entry != *entry {
-                track.silent = 0;
-                track.is_gone = false;
-                track.entry = entry.clone();
+                record.restart(entry.clone());
+            } else if record.entry != *entry {
+                record.unanswered = 0;
+                record.has_exited = false;
+                record.entry = entry.clone();
             }
             if let Some(membership) = &entry.membership {
                 self.epoch = self.epoch.max(membership.epoch);
-                track.warm_model = Some(group_model(&membership.group));
+                record.warm_model = Some(group_model(&membership.group));
                 if membership.rank == 0 {
                     let key = (membership.group.clone(), membership.epoch);
                     self.leaders.insert(key, id.clone());
@@ -195,106 +199,119 @@
                 let is_unknown = model.as_str().is_empty() && !entry.staged.is_empty();
                 is_unknown || entry.staged.contains(model)
             };
-            if track
+            if record
                 .staging
                 .as_ref()
                 .is_some_and(|(model, _)| is_staged(model))
             {
-                track.staging = None;
+                record.staging = None;
             }
         }
-        if self.tracks.len() > known {
-            self.listed_at = now;
+        if self.records.len() > known_count {
+            self.last_discovery_at = now;
         }
-        for (id, key) in left {
-            self.hold_if_standing(&id, &key, now);
+        for (id, key) in departures {
+            self.hold_if_leader_open(&id, &key, now);
         }
         // An address belongs to one upstream at a time.
-        for (id, track) in self.tracks.iter_mut().filter(|(_, track)| !track.is_listed) {
-            let successor = listed.get(&track.entry.addr);
-            track.is_gone |= successor.is_some_and(|successor| *successor != id);
+        for (id, record) in self
+            .records
+            .iter_mut()
+            .filter(|(_, record)| !record.is_listed)
+        {
+            let successor = listed_by_addr.get(&record.entry.addr);
+            record.has_exited |= successor.is_some_and(|successor| *successor != id);
         }
     }
 
-    /// Holds a member that left a group whose leader may still stand open, by an order that an
-    /// earlier coordinator gave and that was carried out late.
-    pub(crate) fn hold_if_standing(&mut self, id: &UpstreamId, key: &GroupKey, now: Millis) {
+    /// Holds a member that left a group whose leader may still be open, due to an order of an
+    /// earlier coordinator that was delivered late.
+    pub(crate) fn hold_if_leader_open(&mut self, id: &UpstreamId, key: &GroupKey, now: Millis) {
         let leader = self.leaders.get(key).filter(|leader| *leader != id);
-        let leader = leader.and_then(|leader| self.tracks.get(leader));
-        let is_over = leader.is_some_and(|leader| {
-            let state = leader.entry.membership.as_ref().map(|it| it.state);
+        let leader = leader.and_then(|leader| self.records.get(leader));
+        let has_ended = leader.is_some_and(|leader| {
+            let state = leader
+                .entry
+                .membership
+                .as_ref()
+                .map(|membership| membership.state);
             let is_open = matches!(state, Some(MemberState::Open | MemberState::Closing));
-            leader.is_gone || (leader.is_listed && !(is_open && leader.is_in(&key.0, key.1)))
+            leader.has_exited
+                || (leader.is_listed && !(is_open && leader.is_member_of(&key.0, key.1)))
         });
         let was_leader = self.leaders.get(key) == Some(id);
-        if is_over || was_leader {
+        if has_ended || was_leader {
             return;
         }
-        let hold = now + self.options.hold_time();
-        if let Some(track) = self.tracks.get_mut(id) {
-            track.held_until = track.held_until.max(hold);
+        let hold_until = now + self.options.hold_time();
+        if let Some(record) = self.records.get_mut(id) {
+            record.held_until = record.held_until.max(hold_until);
         }
     }
 
-    /// Hears that requests come in.
+    /// Records that requests arrive.
     pub fn record_traffic(&mut self) {
         self.has_traffic = true;
     }
 
-    /// Hears that nothing comes from this leader, and whether requests stand still there for certain.
-    /// Asks all members; only certainty makes one that does not answer a lost one.
+    /// Records that a leader makes no progress, and whether its requests are certain to be stalled.
+    /// Returns queries to all members of its group. Only a certain stall makes an unresponsive
+    /// member count as lost.
     pub fn record_stall(
         &mut self,
         leader: &UpstreamIncarnation,
         is_certain: bool,
         now: Millis,
     ) -> Vec<GroupAction> {
-        let track = self.tracks.get_mut(&leader.id);
-        let Some(track) = track.filter(|track| track.entry.incarnation == *leader) else {
+        let record = self.records.get_mut(&leader.id);
+        let Some(record) = record.filter(|record| record.entry.incarnation == *leader) else {
             return Vec::new();
         };
         if is_certain {
-            track.quiet_at = Some(now);
+            record.stalled_at = Some(now);
         }
-        let Some(membership) = track.entry.membership.clone() else {
+        let Some(membership) = record.entry.membership.clone() else {
             return Vec::new();
         };
         let members: Vec<UpstreamId> = self
-            .tracks
+            .records
             .iter()
-            .filter(|(_, track)| track.is_in(&membership.group, membership.epoch))
+            .filter(|(_, record)| record.is_member_of(&membership.group, membership.epoch))
             .map(|(id, _)| id.clone())
             .collect();
-        let gap = Millis(self.options.ask_again.0 / 3);
-        let asked = members.iter().filter_map(|id| self.ask(id, now, gap));
-        asked.collect()
+        let min_interval = Millis(self.options.query_interval.0 / 3);
+        let queries = members
+            .iter()
+            .filter_map(|id| self.query(id, now, min_interval));
+        queries.collect()
     }
 
-    /// Hears whether members are held where a later coordinator finds it.
-    pub fn record_hold(&mut self, group: &GroupId, members: &[UpstreamId], is_kept: bool) {
-        let held = self.holds.entry(group.clone()).or_default();
-        match is_kept {
-            true => held.kept.extend(members.iter().cloned()),
-            false => held.forget_kept(),
+    /// Records whether a hold was stored where a later coordinator finds it.
+    pub fn record_hold(&mut self, group: &GroupId, members: &[UpstreamId], is_stored: bool) {
+        let hold = self.holds.entry(group.clone()).or_default();
+        match is_stored {
+            true => hold.stored.extend(members.iter().cloned()),
+            false => hold.discard_stored(),
         }
     }
 }
 
-/// The members of a group that are held.
+/// The hold on the members of a group.
 #[derive(Debug, Default)]
 pub(crate) struct GroupHold {
-    /// Those that were to be kept, at any time.
-    pub(crate) asked: IndexSet<UpstreamId>,
-    /// Those that are kept: only they are ordered to leave.
-    pub(crate) kept: IndexSet<UpstreamId>,
-    /// When the first of them were to be kept; none where all are to be kept anew.
-    pub(crate) asked_at: Option<Millis>,
+    /// Members for which a hold was ever requested.
+    pub(crate) requested: IndexSet<UpstreamId>,
+    /// Members whose hold is stored. Only these are ordered to leave.
+    pub(crate) stored: IndexSet<UpstreamId>,
+    /// When the current hold was first requested; none if the hold must be requested anew for all
+    /// members.
+    pub(crate) requested_at: Option<Millis>,
 }
 
 impl GroupHold {
-    /// Goes by nothing that was kept: all are to be kept anew before anybody leaves.
-    pub(crate) fn forget_kept(&mut self) {
-        self.kept.clear();
-        self.asked_at = None;
+    /// Discards the stored hold. It must be stored anew before a member is ordered to leave.
+    pub(crate) fn discard_stored(&mut self) {
+        self.stored.clear();
+        self.requested_at = None;
     }
 }
--- a/crates/groups/tests/packing.rs
+++ b/crates/groups/tests/packing.rs
@@ -42,7 +42,7 @@
         let entries: Vec<UpstreamEntry> = (0..case.fabrics * FABRIC_SIZE).map(entry).collect();
         planner.set_directory(entries.iter(), 30, start);
         let mut loads: IndexMap<&str, usize> = IndexMap::new();
-        let actions = planner.step(start + options.settle_limit);
+        let actions = planner.step(start + options.max_settle_time);
         for action in &actions {
             if let GroupAction::Order(request) = action
                 && let GroupOrder::Stage { model } = &request.order
--- a/crates/groups/tests/size.rs
+++ b/crates/groups/tests/size.rs
@@ -27,7 +27,7 @@
     let mut planner = GroupPlanner::new(options, spec(), 20, true, IndexMap::new(), start);
     let mut entries: Vec<UpstreamEntry> = (0..UPSTREAMS).map(entry).collect();
     planner.set_directory(entries.iter(), 30, start);
-    let now = start + options.settle_limit;
+    let now = start + options.max_settle_time;
     let (cold, actions) = timed(&mut planner, now);
     for action in &actions {
         if let GroupAction::Order(request) = action {
