--- a/crates/groups/tests/decisions.rs
+++ b/crates/groups/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Single decisions: what the directory says, and the orders that follow from it.
+//! Single decisions: a directory, and the orders that follow from it.
 
 mod support;
 
@@ -7,56 +7,60 @@
 use bergamot_types::prelude::*;
 use indexmap::IndexMap;
 
-use support::short::*;
+use support::shorthand::*;
 
 struct DecisionCase {
     name: &'static str,
-    ups: Vec<Up>,
+    upstreams: Vec<ShortEntry>,
     expected: &'static [&'static str],
 }
 
 #[test]
-fn the_directory_leads_to_orders() {
+fn each_directory_leads_to_the_expected_orders() {
     use MemberState::{Closing, Joining, Open, Ready};
     let cases = [
         DecisionCase {
-            name: "members that hold the weights form a group",
-            ups: vec![up("u1", Some("a")), up("u2", Some("a"))],
+            name: "upstreams with staged weights form a group",
+            upstreams: vec![upstream("u1", Some("a")), upstream("u2", Some("a"))],
             expected: &["u1: join a of 2", "u2: join a of 2"],
         },
         DecisionCase {
-            name: "weights are loaded first, so many at once",
-            ups: vec![up("u1", None), up("u2", None), up("u3", None)],
+            name: "weights are loaded first, up to the limit on concurrent loads",
+            upstreams: vec![
+                upstream("u1", None),
+                upstream("u2", None),
+                upstream("u3", None),
+            ],
             expected: &["u1: stage a", "u2: stage a"],
         },
         DecisionCase {
-            name: "a group whose members are all ready is opened, whoever formed it",
-            ups: vec![member("u1", "a.7", 0, Ready), member("u2", "a.7", 1, Ready)],
+            name: "a group whose members are all ready is opened, even if another coordinator formed it",
+            upstreams: vec![member("u1", "a.7", 0, Ready), member("u2", "a.7", 1, Ready)],
             expected: &["u1: open"],
         },
         DecisionCase {
-            name: "a group of which one member still joins is not needed by anybody",
-            ups: vec![
+            name: "a group that no coordinator is forming and that is not ready is dissolved",
+            upstreams: vec![
                 member("u1", "a.7", 0, Ready),
                 member("u2", "a.7", 1, Joining),
             ],
             expected: &["u1: leave"],
         },
         DecisionCase {
-            name: "a whole group is left alone",
-            ups: vec![member("u1", "a.7", 0, Open), member("u2", "a.7", 1, Ready)],
+            name: "a complete group is left alone",
+            upstreams: vec![member("u1", "a.7", 0, Open), member("u2", "a.7", 1, Ready)],
             expected: &[],
         },
         DecisionCase {
-            name: "a group that lost a member ends",
-            ups: vec![member("u1", "a.7", 0, Open)],
+            name: "a group that lost a member is dissolved",
+            upstreams: vec![member("u1", "a.7", 0, Open)],
             expected: &["u1: leave"],
         },
         DecisionCase {
-            name: "a group with a member that leaves ends what is in flight",
-            ups: vec![
+            name: "a group with a leaving member stops accepting requests",
+            upstreams: vec![
                 member("u1", "a.7", 0, Open),
-                Up {
+                ShortEntry {
                     is_draining: true,
                     ..member("u2", "a.7", 1, Ready)
                 },
@@ -64,10 +68,10 @@
             expected: &["u1: close"],
         },
         DecisionCase {
-            name: "and is given time for it",
-            ups: vec![
+            name: "a closing group gets time to finish its requests",
+            upstreams: vec![
                 member("u1", "a.7", 0, Closing),
-                Up {
+                ShortEntry {
                     is_draining: true,
                     ..member("u2", "a.7", 1, Ready)
                 },
@@ -75,67 +79,67 @@
             expected: &[],
         },
         DecisionCase {
-            name: "a spare warms up on its own",
-            ups: vec![
+            name: "a spare warms up in a group of its own",
+            upstreams: vec![
                 member("u1", "a.7", 0, Open),
                 member("u2", "a.7", 1, Ready),
-                up("u3", Some("a")),
+                upstream("u3", Some("a")),
             ],
             expected: &["u3: join a of 1"],
         },
         DecisionCase {
-            name: "hosts are not turned over to another model that has as many groups",
-            ups: vec![
+            name: "hosts are not converted to a model that has as many groups",
+            upstreams: vec![
                 member("u1", "a.7", 0, Open),
                 member("u2", "a.7", 1, Ready),
                 member("u3", "b.7", 0, Open),
                 member("u4", "b.7", 1, Ready),
-                up("u5", Some("a")),
-                Up {
+                upstream("u5", Some("a")),
+                ShortEntry {
                     fabric: "f2",
-                    ..up("u6", Some("a"))
+                    ..upstream("u6", Some("a"))
                 },
             ],
             expected: &["u5: join a of 1", "u6: join a of 1"],
         },
         DecisionCase {
-            name: "but to one that has none",
-            ups: vec![
+            name: "hosts are converted to a model without groups",
+            upstreams: vec![
                 member("u1", "a.7", 0, Open),
                 member("u2", "a.7", 1, Ready),
-                up("u3", Some("a")),
-                up("u4", Some("a")),
+                upstream("u3", Some("a")),
+                upstream("u4", Some("a")),
             ],
             expected: &["u3: stage b", "u4: stage b"],
         },
         DecisionCase {
-            name: "nor while they could serve, and a load elsewhere completes a group of the shorter model",
-            ups: vec![
+            name: "hosts that could serve are not converted while a load elsewhere completes a group of the model with less supply",
+            upstreams: vec![
                 member("u1", "a.7", 0, Open),
                 member("u2", "a.7", 1, Ready),
                 member("u3", "a.8", 0, Open),
                 member("u4", "a.8", 1, Ready),
                 member("v2", "a.9", 0, Open),
                 member("v3", "a.9", 1, Ready),
-                Up {
+                ShortEntry {
                     fabric: "f2",
                     group: Some(("b.7", 0, Open)),
-                    ..up("u5", Some("b"))
+                    ..upstream("u5", Some("b"))
                 },
-                Up {
+                ShortEntry {
                     fabric: "f2",
                     group: Some(("b.7", 1, Ready)),
-                    ..up("u6", Some("b"))
+                    ..upstream("u6", Some("b"))
                 },
-                up("u7", Some("a")),
-                up("u8", Some("a")),
-                Up {
+                upstream("u7", Some("a")),
+                upstream("u8", Some("a")),
+                ShortEntry {
                     fabric: "f2",
-                    ..up("u9", Some("b"))
+                    ..upstream("u9", Some("b"))
                 },
-                Up {
+                ShortEntry {
                     fabric: "f2",
-                    ..up("v1", None)
+                    ..upstream("v1", None)
                 },
             ],
             expected: &[
@@ -148,18 +152,19 @@
     ];
     for case in cases {
         let mut planner = planner();
-        show(&case.ups, &mut planner);
-        let shown = orders(&planner.step(NOW));
+        apply_directory(&case.upstreams, &mut planner);
+        let sent_orders = orders(&planner.step(NOW));
         let expected: Vec<&str> = case.expected.to_vec();
-        assert_eq!(shown, expected, "{}", case.name);
+        assert_eq!(sent_orders, expected, "{}", case.name);
     }
 }
 
-/// A spare that could serve is a stranded accelerator; what is left of a lost group is the spare.
+/// A spare that could serve is an idle accelerator; the remaining members of a lost group become
+/// spares instead.
 #[test]
-fn ready_upstreams_are_not_held_back() {
-    let mut ups: Vec<Up> = ["u1", "u2", "u3", "u4", "u5", "u6"]
-        .map(|id| up(id, Some("a")))
+fn upstreams_that_could_serve_are_not_kept_as_spares() {
+    let mut upstreams: Vec<ShortEntry> = ["u1", "u2", "u3", "u4", "u5", "u6"]
+        .map(|id| upstream(id, Some("a")))
         .to_vec();
     for (id, group, rank, state) in [
         ("u7", "b.7", 0, MemberState::Open),
@@ -167,69 +172,76 @@
         ("u9", "b.8", 0, MemberState::Open),
         ("v1", "b.8", 1, MemberState::Ready),
     ] {
-        ups.push(Up {
+        upstreams.push(ShortEntry {
             group: Some((group, rank, state)),
-            ..up(id, Some("b"))
+            ..upstream(id, Some("b"))
         });
     }
     let mut planner = planner();
-    show(&ups, &mut planner);
+    apply_directory(&upstreams, &mut planner);
     let actions = planner.step(NOW);
     let joins = orders(&actions);
-    let joins = joins.iter().filter(|it| it.ends_with("join a of 2"));
+    let joins = joins.iter().filter(|order| order.ends_with("join a of 2"));
     assert_eq!(joins.count(), 6, "{actions:?}");
 }
 
-/// What is listed first at the first start decides nothing: small groups would take all hosts of
-/// the first fabric domains.
+/// On the first start, groups must not be formed from the first listed upstreams: small groups
+/// would take all hosts of the first fabric domains.
 #[test]
-fn the_first_groups_wait_for_the_directory() {
+fn the_first_groups_wait_until_the_directory_has_settled() {
     let options = GroupOptions::default();
-    let settle = options.settle_time;
+    let settle_time = options.settle_time;
     let mut planner = GroupPlanner::new(options, spec(), 20, true, IndexMap::new(), NOW);
-    show(&[up("u1", Some("a")), up("u2", Some("a"))], &mut planner);
-    let early = planner.step(NOW + settle.since(Millis(1)));
-    assert_eq!(orders(&early), Vec::<String>::new());
-    let late = planner.step(NOW + settle);
-    assert!(!orders(&late).is_empty());
+    apply_directory(
+        &[upstream("u1", Some("a")), upstream("u2", Some("a"))],
+        &mut planner,
+    );
+    let early_actions = planner.step(NOW + settle_time.since(Millis(1)));
+    assert_eq!(orders(&early_actions), Vec::<String>::new());
+    let late_actions = planner.step(NOW + settle_time);
+    assert!(!orders(&late_actions).is_empty());
 }
 
 #[test]
 fn a_member_that_left_by_a_late_order_is_held_while_its_leader_is_open() {
-    let open = member("u1", "a.7", 0, MemberState::Open);
+    let open_leader = member("u1", "a.7", 0, MemberState::Open);
     let mut planner = planner();
-    show(
+    apply_directory(
         &[
-            open,
+            open_leader,
             member("u2", "a.7", 1, MemberState::Ready),
-            up("u3", Some("a")),
+            upstream("u3", Some("a")),
         ],
         &mut planner,
     );
-    show(
-        &[open, up("u2", Some("a")), up("u3", Some("a"))],
+    apply_directory(
+        &[
+            open_leader,
+            upstream("u2", Some("a")),
+            upstream("u3", Some("a")),
+        ],
         &mut planner,
     );
-    let is_used = |planner: &mut GroupPlanner, after: u64| {
-        let actions = planner.step(NOW + Millis(after));
-        obey(planner, &actions);
+    let is_ordered_to_join = |planner: &mut GroupPlanner, elapsed_ms: u64| {
+        let actions = planner.step(NOW + Millis(elapsed_ms));
+        accept_orders(planner, &actions);
         orders(&actions)
             .iter()
             .any(|order| order.starts_with("u2: join"))
     };
-    assert!(!is_used(&mut planner, 0));
-    assert!(!is_used(&mut planner, 4_000));
-    assert!(is_used(&mut planner, 5_000));
+    assert!(!is_ordered_to_join(&mut planner, 0));
+    assert!(!is_ordered_to_join(&mut planner, 4_000));
+    assert!(is_ordered_to_join(&mut planner, 5_000));
 }
 
 #[test]
-fn a_refused_fencing_number_ends_the_term() {
-    let ups = [member("u1", "a.7", 0, MemberState::Open)];
+fn a_fenced_order_stops_the_coordinator() {
+    let upstreams = [member("u1", "a.7", 0, MemberState::Open)];
     let mut planner = planner();
-    show(&ups, &mut planner);
+    apply_directory(&upstreams, &mut planner);
     let actions = planner.step(NOW);
     let Some(GroupAction::Order(request)) = actions.into_iter().next() else {
-        panic!("it is ordered to leave");
+        panic!("u1 must be ordered to leave");
     };
     planner.record_order_outcome(&request, &OrderOutcome::Fenced);
     assert!(planner.is_fenced());
@@ -237,7 +249,7 @@
 }
 
 #[test]
-fn a_coordinator_that_takes_over_asks_before_it_orders() {
+fn a_successor_queries_upstreams_before_it_orders_them() {
     let mut planner = GroupPlanner::new(
         GroupOptions::default(),
         spec(),
@@ -246,7 +258,10 @@
         IndexMap::new(),
         NOW,
     );
-    show(&[up("u1", Some("a")), up("u2", Some("a"))], &mut planner);
+    apply_directory(
+        &[upstream("u1", Some("a")), upstream("u2", Some("a"))],
+        &mut planner,
+    );
     let actions = planner.step(NOW);
     assert_eq!(orders(&actions), Vec::<String>::new());
     for id in ["u1", "u2"] {
@@ -268,26 +283,31 @@
 }
 
 #[test]
-fn loads_keep_to_the_weight_stores_rate() {
+fn loads_do_not_exceed_the_rate_of_the_weight_store() {
     let mut planner = planner();
     planner.set_spec(EngineSpec {
         loads_per_second: 0.6,
         parallel_loads: 9,
         ..spec()
     });
-    let cold: Vec<Up> = ["u1", "u2", "u3", "u4", "u5", "u6"]
+    let cold: Vec<ShortEntry> = ["u1", "u2", "u3", "u4", "u5", "u6"]
         .into_iter()
-        .map(|id| up(id, None))
+        .map(|id| upstream(id, None))
         .collect();
-    show(&cold, &mut planner);
-    let mut count = |after: u64| {
-        let actions = planner.step(NOW + Millis(after));
-        obey(&mut planner, &actions);
+    apply_directory(&cold, &mut planner);
+    let mut orders_after = |elapsed_ms: u64| {
+        let actions = planner.step(NOW + Millis(elapsed_ms));
+        accept_orders(&mut planner, &actions);
         orders(&actions).len()
     };
-    // Three in five seconds.
+    // Three loads in five seconds.
     assert_eq!(
-        (count(0), count(1_000), count(4_900), count(5_100)),
+        (
+            orders_after(0),
+            orders_after(1_000),
+            orders_after(4_900),
+            orders_after(5_100)
+        ),
         (3, 0, 0, 3)
     );
 }
--- a/crates/groups/tests/demand.rs
+++ b/crates/groups/tests/demand.rs
@@ -1,4 +1,4 @@
-//! Groups follow what is asked for, not only what was declared.
+//! Groups follow the measured demand, not only the declared one.
 
 mod support;
 
@@ -6,9 +6,9 @@
 use bergamot_ports::{EngineSpec, EngineSpeed, GroupOrder, MemberState};
 use bergamot_types::prelude::*;
 
-use support::short::*;
+use support::shorthand::*;
 
-/// Two models with half of the work each, as declared.
+/// Two models that each have half of the declared load.
 fn even_spec() -> EngineSpec {
     EngineSpec {
         speed: Some(EngineSpeed {
@@ -23,67 +23,67 @@
 
 struct DemandCase {
     name: &'static str,
-    /// Requests of each model within ten seconds, and tokens of a prompt.
-    asked: [(&'static str, u32, u32); 2],
+    /// Per model: number of requests within ten seconds, and prompt tokens of each.
+    requested: [(&'static str, u32, u32); 2],
     /// The model that the next hosts load.
-    loaded: &'static str,
+    loaded_model: &'static str,
 }
 
 #[test]
 fn the_next_group_is_of_the_model_that_needs_it() {
     let cases = [
         DemandCase {
-            name: "nothing asked yet: the first of two that are declared alike",
-            asked: [("a", 0, 0), ("b", 0, 0)],
-            loaded: "a",
+            name: "no requests yet: the first of two models with equal declared shares",
+            requested: [("a", 0, 0), ("b", 0, 0)],
+            loaded_model: "a",
         },
         DemandCase {
-            name: "about as declared",
-            asked: [("a", 200, 1_000), ("b", 230, 1_000)],
-            loaded: "a",
+            name: "demand close to the declared shares",
+            requested: [("a", 200, 1_000), ("b", 230, 1_000)],
+            loaded_model: "a",
         },
         DemandCase {
-            name: "three times as many requests",
-            asked: [("a", 100, 1_000), ("b", 300, 1_000)],
-            loaded: "b",
+            name: "three times as many requests for b",
+            requested: [("a", 100, 1_000), ("b", 300, 1_000)],
+            loaded_model: "b",
         },
         DemandCase {
-            name: "fewer requests, but longer prompts",
-            asked: [("a", 200, 500), ("b", 100, 16_000)],
-            loaded: "b",
+            name: "fewer requests for b, but longer prompts",
+            requested: [("a", 200, 500), ("b", 100, 16_000)],
+            loaded_model: "b",
         },
         DemandCase {
-            name: "the other way round",
-            asked: [("a", 200, 16_000), ("b", 300, 500)],
-            loaded: "a",
+            name: "more requests for b, but longer prompts for a",
+            requested: [("a", 200, 16_000), ("b", 300, 500)],
+            loaded_model: "a",
         },
     ];
-    let group = |id, group, rank, model| Up {
+    let group_member = |id, group, rank, model| ShortEntry {
         group: Some((group, rank, [MemberState::Open, MemberState::Ready][rank])),
-        ..up(id, Some(model))
+        ..upstream(id, Some(model))
     };
     for case in cases {
         let mut meter = DemandMeter::default();
-        for (model, requests, prompt) in case.asked {
+        for (model, requests, prompt_tokens) in case.requested {
             let model = ModelName::new(model);
             for request in 0..requests {
-                let at = NOW + Millis(u64::from(request) * 10_000 / u64::from(requests));
-                meter.record_request(at, &model, prompt);
+                let arrived_at = NOW + Millis(u64::from(request) * 10_000 / u64::from(requests));
+                meter.record_request(arrived_at, &model, prompt_tokens);
             }
             meter.record_answer(&model, 10);
         }
         let mut planner = planner();
         planner.set_spec(even_spec());
         planner.set_demand(meter.demands(NOW + Millis(10_000)));
-        let ups = [
-            group("u1", "a.7", 0, "a"),
-            group("u2", "a.7", 1, "a"),
-            group("u3", "b.7", 0, "b"),
-            group("u4", "b.7", 1, "b"),
-            up("u5", None),
-            up("u6", None),
+        let upstreams = [
+            group_member("u1", "a.7", 0, "a"),
+            group_member("u2", "a.7", 1, "a"),
+            group_member("u3", "b.7", 0, "b"),
+            group_member("u4", "b.7", 1, "b"),
+            upstream("u5", None),
+            upstream("u6", None),
         ];
-        show(&ups, &mut planner);
+        apply_directory(&upstreams, &mut planner);
         let loaded = planner.step(NOW).into_iter().filter_map(|action| {
             let GroupAction::Order(request) = action else {
                 return None;
@@ -94,6 +94,6 @@
             }
         });
         let loaded: Vec<String> = loaded.collect();
-        assert_eq!(loaded, [case.loaded; 2], "{}", case.name);
+        assert_eq!(loaded, [case.loaded_model; 2], "{}", case.name);
     }
 }
--- a/crates/groups/tests/random.rs
+++ b/crates/groups/tests/random.rs
@@ -1,37 +1,37 @@
-//! Randomised runs of the planner against a model of the upstreams, with late and lost orders,
-//! partitions that refuse or swallow, crashes, and coordinators that freeze and come back. After
-//! each step the promises are checked.
+//! Randomised runs of the planner against simulated upstreams, with late and lost orders,
+//! partitions that refuse or drop connections, crashes, and coordinators that freeze and return.
+//! The guarantees are checked after each step.
 
 mod support;
 
 use support::world::{World, WorldOptions};
 
-/// Length of a run, in milliseconds of virtual time.
-const RUN_LENGTH: u64 = 60_000;
+/// Length of a run in virtual milliseconds.
+const RUN_LENGTH_MS: u64 = 60_000;
 
 struct RunCase {
     name: &'static str,
     options: WorldOptions,
     seeds: u64,
-    /// Groups that must serve on the mean of all runs, as a part of those that fit.
-    min_serving: f64,
+    /// Minimum fraction of the possible groups that serve, averaged over all runs.
+    min_serving_share: f64,
 }
 
 const CASES: &[RunCase] = &[
     RunCase {
         name: "calm",
-        options: WorldOptions::CALM,
+        options: WorldOptions::NO_FAULTS,
         seeds: 20,
-        min_serving: 0.9,
+        min_serving_share: 0.9,
     },
     RunCase {
         name: "crashes",
         options: WorldOptions {
             crash_chance: 0.02,
-            ..WorldOptions::CALM
+            ..WorldOptions::NO_FAULTS
         },
         seeds: 40,
-        min_serving: 0.4,
+        min_serving_share: 0.4,
     },
     RunCase {
         name: "late and lost orders",
@@ -39,113 +39,113 @@
             late_chance: 0.2,
             lost_chance: 0.1,
             crash_chance: 0.01,
-            ..WorldOptions::CALM
+            ..WorldOptions::NO_FAULTS
         },
         seeds: 60,
-        min_serving: 0.2,
+        min_serving_share: 0.2,
     },
     RunCase {
-        name: "partitions and new coordinators",
+        name: "partitions and takeovers",
         options: WorldOptions {
             late_chance: 0.1,
             lost_chance: 0.05,
             crash_chance: 0.01,
             cut_chance: 0.02,
             takeover_chance: 0.03,
-            ..WorldOptions::CALM
+            ..WorldOptions::NO_FAULTS
         },
         seeds: 100,
-        min_serving: 0.0,
+        min_serving_share: 0.0,
     },
     RunCase {
         name: "restarts under the same id",
         options: WorldOptions {
             crash_chance: 0.02,
-            same_id_part: 1.0,
-            ..WorldOptions::CALM
+            same_id_share: 1.0,
+            ..WorldOptions::NO_FAULTS
         },
         seeds: 40,
-        min_serving: 0.4,
+        min_serving_share: 0.4,
     },
     RunCase {
-        name: "restarts under the same id, behind cuts too, and new coordinators",
+        name: "restarts under the same id, partitions and takeovers",
         options: WorldOptions {
             late_chance: 0.1,
             lost_chance: 0.05,
             crash_chance: 0.02,
-            same_id_part: 0.8,
+            same_id_share: 0.8,
             cut_chance: 0.03,
             takeover_chance: 0.03,
-            ..WorldOptions::CALM
+            ..WorldOptions::NO_FAULTS
         },
         seeds: 100,
-        min_serving: 0.0,
+        min_serving_share: 0.0,
     },
 ];
 
-/// The seeds of a case, or the one that `BERGAMOT_SEED` names.
+/// Returns the seeds of a case, or only the one that `BERGAMOT_SEED` sets.
 fn seeds(count: u64) -> std::ops::Range<u64> {
-    let one = std::env::var("BERGAMOT_SEED")
+    let chosen_seed = std::env::var("BERGAMOT_SEED")
         .ok()
         .and_then(|seed| seed.parse().ok());
-    one.map_or(0..count, |seed: u64| seed..seed + 1)
+    chosen_seed.map_or(0..count, |seed: u64| seed..seed + 1)
 }
 
 #[test]
-fn promises_hold_in_random_runs() {
+fn random_runs_violate_no_guarantee() {
     for case in CASES {
-        let mut serving = 0.0;
+        let mut serving_sum = 0.0;
         for seed in seeds(case.seeds) {
             let mut world = World::new(seed, case.options);
-            world.run(RUN_LENGTH);
+            world.run(RUN_LENGTH_MS);
             assert_eq!(
-                world.broken,
+                world.violations,
                 Vec::<String>::new(),
                 "{} seed {seed}",
                 case.name
             );
-            serving += world.serving_part();
+            serving_sum += world.serving_share();
         }
-        let mean = serving / case.seeds as f64;
-        println!("{}: {mean:.2} of the groups serve", case.name);
-        let is_whole_set = std::env::var_os("BERGAMOT_SEED").is_none();
+        let mean_share = serving_sum / case.seeds as f64;
+        println!("{}: {mean_share:.2} of the groups serve", case.name);
+        let runs_all_seeds = std::env::var_os("BERGAMOT_SEED").is_none();
         assert!(
-            !is_whole_set || mean >= case.min_serving,
-            "{}: {mean}",
+            !runs_all_seeds || mean_share >= case.min_serving_share,
+            "{}: {mean_share}",
             case.name
         );
     }
 }
 
-/// A check that never fails shows nothing: each wrong decision must be caught.
+/// Checks that the guarantee checks work: each deliberately wrong decision must be detected.
 #[test]
-fn wrong_decisions_are_caught() {
-    let wrong = [
+fn deliberately_wrong_decisions_are_detected() {
+    let faulty_options = [
         (
-            "members are used while their leader stands open",
+            "members are used while their leader is open",
             WorldOptions {
                 trust_refusals: true,
                 cut_chance: 0.05,
                 crash_chance: 0.01,
-                ..WorldOptions::CALM
+                ..WorldOptions::NO_FAULTS
             },
         ),
         (
-            "held members are not passed on to the next coordinator",
+            "the next coordinator does not receive the holds",
             WorldOptions {
                 forget_holds: true,
                 cut_chance: 0.05,
                 takeover_chance: 0.1,
-                ..WorldOptions::CALM
+                ..WorldOptions::NO_FAULTS
             },
         ),
     ];
-    for (name, options) in wrong {
-        let is_caught = (0..200).any(|seed| {
+    for (name, options) in faulty_options {
+        let is_detected = (0..200).any(|seed| {
             let mut world = World::new(seed, options);
-            world.run(RUN_LENGTH);
-            !world.broken.is_empty()
+            world.run(RUN_LENGTH_MS);
+            !world.violations.is_empty()
         });
-        assert!(is_caught, "{name}");
+        assert!(is_detected, "{name}");
     }
 }
--- a/crates/groups/tests/support/fleet.rs
+++ b/crates/groups/tests/support/fleet.rs
@@ -1,10 +1,11 @@
-//! A large fleet: a model of groups of 16 and one of groups of four, in fabric domains of 37.
+//! A large fleet with one model in groups of 16 and one in groups of four, in fabric domains of 37
+//! upstreams.
 
 use bergamot_ports::{EngineSpec, UpstreamEntry, UpstreamState};
 use bergamot_types::prelude::*;
 use indexmap::IndexMap;
 
-use super::short::model;
+use super::shorthand::model;
 
 pub const FABRIC_SIZE: usize = 37;
 
@@ -13,7 +14,7 @@
         slots: 30,
         models: [model("large", 16), model("small", 4)]
             .into_iter()
-            .map(|it| (it.name.clone(), it))
+            .map(|model| (model.name.clone(), model))
             .collect::<IndexMap<_, _>>(),
         loads_per_second: 18.0,
         parallel_loads: 27,
@@ -22,7 +23,7 @@
     }
 }
 
-/// A cold upstream.
+/// Returns the entry of an upstream without staged weights.
 pub fn entry(index: usize) -> UpstreamEntry {
     let fabric = index / FABRIC_SIZE;
     UpstreamEntry {
--- a/crates/groups/tests/support/mod.rs
+++ b/crates/groups/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Shared by the tests of this crate.
+//! Helpers for the tests of this crate.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 pub mod fleet;
-pub mod short;
+pub mod shorthand;
 pub mod world;
--- a/crates/groups/tests/support/short.rs
+++ b/crates/groups/tests/support/shorthand.rs
@@ -1,4 +1,4 @@
-//! A small directory in short, and what a planner makes of it.
+//! A small directory in short notation, and helpers that drive a planner with it.
 
 use bergamot_groups::{GroupAction, GroupOptions, GroupPlanner, QueryOutcome};
 use bergamot_ports::{
@@ -10,7 +10,7 @@
 
 pub const NOW: Millis = Millis(100_000);
 
-/// A model with half of the work.
+/// A model with half of the load.
 pub fn model(name: &str, size: usize) -> ModelSpec {
     ModelSpec {
         name: ModelName::new(name),
@@ -27,7 +27,7 @@
         slots: 8,
         models: [model("a", 2), model("b", 2)]
             .into_iter()
-            .map(|it| (it.name.clone(), it))
+            .map(|model| (model.name.clone(), model))
             .collect::<IndexMap<_, _>>(),
         loads_per_second: 4.0,
         parallel_loads: 2,
@@ -36,12 +36,12 @@
     }
 }
 
-/// The first run of an upstream.
+/// The first incarnation of an upstream.
 pub fn incarnation(id: &str) -> UpstreamIncarnation {
     UpstreamIncarnation::new(UpstreamId::new(id), Some(UnixMillis(1)))
 }
 
-/// What such a run reports that has begun no order.
+/// The report of a first incarnation that has begun no orders.
 pub fn report() -> UpstreamReport {
     UpstreamReport {
         born: Some(UnixMillis(1)),
@@ -49,9 +49,9 @@
     }
 }
 
-/// An upstream in short: id, fabric domain, staged model, group with rank and state, draining.
+/// Short notation for a directory entry.
 #[derive(Clone, Copy)]
-pub struct Up {
+pub struct ShortEntry {
     pub id: &'static str,
     pub fabric: &'static str,
     pub staged: Option<&'static str>,
@@ -59,8 +59,8 @@
     pub is_draining: bool,
 }
 
-pub const fn up(id: &'static str, staged: Option<&'static str>) -> Up {
-    Up {
+pub const fn upstream(id: &'static str, staged: Option<&'static str>) -> ShortEntry {
+    ShortEntry {
         id,
         fabric: "f1",
         staged,
@@ -69,28 +69,33 @@
     }
 }
 
-pub const fn member(id: &'static str, group: &'static str, rank: usize, state: MemberState) -> Up {
-    Up {
+pub const fn member(
+    id: &'static str,
+    group: &'static str,
+    rank: usize,
+    state: MemberState,
+) -> ShortEntry {
+    ShortEntry {
         group: Some((group, rank, state)),
-        ..up(id, Some("a"))
+        ..upstream(id, Some("a"))
     }
 }
 
-pub fn entry(up: &Up, index: usize) -> UpstreamEntry {
+pub fn entry(upstream: &ShortEntry, index: usize) -> UpstreamEntry {
     UpstreamEntry {
-        incarnation: incarnation(up.id),
+        incarnation: incarnation(upstream.id),
         service: ServiceName::new("engines"),
         addr: ([10, 0, 0, 1], 9_000 + index as u16).into(),
         failure_domain: FailureDomain::new("east"),
-        fabric: Some(FabricDomain::new(up.fabric)),
-        state: match up.is_draining {
+        fabric: Some(FabricDomain::new(upstream.fabric)),
+        state: match upstream.is_draining {
             true => UpstreamState::Draining,
             false => UpstreamState::Ready,
         },
         slots: 8,
-        staged: up.staged.map(ModelName::new).into_iter().collect(),
+        staged: upstream.staged.map(ModelName::new).into_iter().collect(),
         models: Vec::new(),
-        membership: up.group.map(|(group, rank, state)| GroupMembership {
+        membership: upstream.group.map(|(group, rank, state)| GroupMembership {
             group: GroupId::new(group),
             epoch: 7,
             rank,
@@ -112,39 +117,40 @@
     planner
 }
 
-pub fn show(ups: &[Up], planner: &mut GroupPlanner) {
-    let entries: Vec<UpstreamEntry> = ups
+/// Replaces the planner's directory with these upstreams.
+pub fn apply_directory(upstreams: &[ShortEntry], planner: &mut GroupPlanner) {
+    let entries: Vec<UpstreamEntry> = upstreams
         .iter()
         .enumerate()
-        .map(|(index, up)| entry(up, index))
+        .map(|(index, upstream)| entry(upstream, index))
         .collect();
     planner.set_directory(entries.iter(), 30, NOW);
 }
 
-/// Orders in short: who and what.
+/// Formats the orders as sorted lines of upstream and order.
 pub fn orders(actions: &[GroupAction]) -> Vec<String> {
-    let mut shown: Vec<String> = actions
+    let mut lines: Vec<String> = actions
         .iter()
         .filter_map(|action| match action {
             GroupAction::Order(request) => {
-                let what = match &request.order {
+                let order = match &request.order {
                     GroupOrder::Join { model, members, .. } => {
                         format!("join {model} of {}", members.len())
                     }
                     GroupOrder::Stage { model } => format!("stage {model}"),
                     other => other.as_str().to_owned(),
                 };
-                Some(format!("{}: {what}", request.target.incarnation))
+                Some(format!("{}: {order}", request.target.incarnation))
             }
             GroupAction::Query(_) | GroupAction::Hold { .. } => None,
         })
         .collect();
-    shown.sort();
-    shown
+    lines.sort();
+    lines
 }
 
-/// Says that all orders have begun.
-pub fn obey(planner: &mut GroupPlanner, actions: &[GroupAction]) {
+/// Reports that all orders have begun.
+pub fn accept_orders(planner: &mut GroupPlanner, actions: &[GroupAction]) {
     for action in actions {
         if let GroupAction::Order(request) = action {
             planner.record_order_outcome(request, &OrderOutcome::Begun);
@@ -152,11 +158,12 @@
     }
 }
 
-pub fn quiet(planner: &mut GroupPlanner, id: &str, now: Millis) {
-    let id = incarnation(id);
-    planner.record_stall(&id, true, now);
-    planner.record_query_outcome(&id, &QueryOutcome::Silent, now);
+/// Suspects the leader `id` and lets two queries to it time out, one step apart.
+pub fn time_out_queries(planner: &mut GroupPlanner, id: &str, now: Millis) {
+    let incarnation = incarnation(id);
+    planner.record_stall(&incarnation, true, now);
+    planner.record_query_outcome(&incarnation, &QueryOutcome::Silent, now);
     let actions = planner.step(now + Millis(60));
-    obey(planner, &actions);
-    planner.record_query_outcome(&id, &QueryOutcome::Silent, now + Millis(60));
+    accept_orders(planner, &actions);
+    planner.record_query_outcome(&incarnation, &QueryOutcome::Silent, now + Millis(60));
 }
--- a/crates/groups/tests/support/world.rs
+++ b/crates/groups/tests/support/world.rs
@@ -1,6 +1,6 @@
-//! A model of the upstreams of one service, in virtual time.
+//! A simulation of the upstreams of one service in virtual time.
 
-mod trouble;
+mod faults;
 mod upstreams;
 
 use std::collections::BTreeMap;
@@ -16,35 +16,36 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const STALL: u64 = 4_000;
-const LAPSE: u64 = 3_600;
-const STEP: u64 = 20;
+const STALL_MS: u64 = 4_000;
+const ENTRY_TTL_MS: u64 = 3_600;
+const STEP_MS: u64 = 20;
 
-/// What goes wrong, each as a chance in a second.
+/// Probabilities of faults: per second for crashes, cuts and takeovers, per order for late and lost
+/// orders.
 #[derive(Clone, Copy)]
 pub struct WorldOptions {
-    /// An upstream's process dies; another run comes back after some seconds.
+    /// An upstream crashes; another incarnation starts after some seconds.
     pub crash_chance: f64,
-    /// Part of the crashed upstreams that come back under their own id.
-    pub same_id_part: f64,
+    /// Fraction of the crashed upstreams that restart under the same id.
+    pub same_id_share: f64,
     /// An upstream is cut off from the coordinator, from the store, or from both.
     pub cut_chance: f64,
-    /// Another coordinator takes over while orders of the old one are still on their way.
+    /// Another coordinator takes over while orders of the previous one are still in transit.
     pub takeover_chance: f64,
-    /// Chance of an order to be carried out 2 to 12 s later, without an answer.
+    /// An order is carried out 2 to 12 s late, and its answer is lost.
     pub late_chance: f64,
-    /// Chance of an order's answer to be lost.
+    /// The answer to an order is lost.
     pub lost_chance: f64,
-    /// Wrong on purpose: a refused connection counts as proof of death.
+    /// Deliberate fault: a refused connection counts as proof of a crash.
     pub trust_refusals: bool,
-    /// Wrong on purpose: the next coordinator does not learn of held members.
+    /// Deliberate fault: the next coordinator does not receive the holds.
     pub forget_holds: bool,
 }
 
 impl WorldOptions {
-    pub const CALM: Self = Self {
+    pub const NO_FAULTS: Self = Self {
         crash_chance: 0.0,
-        same_id_part: 0.0,
+        same_id_share: 0.0,
         cut_chance: 0.0,
         takeover_chance: 0.0,
         late_chance: 0.0,
@@ -55,38 +56,38 @@
 }
 
 #[derive(Clone)]
-struct Joined {
+struct JoinedGroup {
     membership: GroupMembership,
     members: Vec<UpstreamId>,
-    due: u64,
+    ready_at: u64,
 }
 
-struct ModelUpstream {
+struct SimulatedUpstream {
     id: UpstreamId,
-    /// When this run of it started.
-    born: Option<UnixMillis>,
+    /// When this incarnation started.
+    started_at: Option<UnixMillis>,
     fabric: usize,
     addr: SocketAddr,
     down_until: u64,
     cut_until: u64,
     cut_from_store: bool,
     cut_from_coordinator: bool,
-    beat_at: u64,
-    begun: u64,
-    fence: u64,
-    top_epoch: u64,
+    entry_written_at: u64,
+    orders_begun: u64,
+    highest_fence: u64,
+    highest_epoch: u64,
     staged: Option<ModelName>,
     loading: Option<(ModelName, u64)>,
     warm: Option<ModelName>,
-    joined: Option<Joined>,
-    broken_at: Option<u64>,
-    /// What its earlier run wrote, until this one writes.
-    old_entry: Option<UpstreamEntry>,
+    joined: Option<JoinedGroup>,
+    breaks_at: Option<u64>,
+    /// The entry of the previous incarnation, until this one writes its own.
+    previous_entry: Option<UpstreamEntry>,
 }
 
-impl ModelUpstream {
+impl SimulatedUpstream {
     fn incarnation(&self) -> UpstreamIncarnation {
-        UpstreamIncarnation::new(self.id.clone(), self.born)
+        UpstreamIncarnation::new(self.id.clone(), self.started_at)
     }
 
     fn entry(&self) -> UpstreamEntry {
@@ -100,14 +101,14 @@
             slots: 8,
             staged: self.staged.iter().cloned().collect(),
             models: Vec::new(),
-            membership: self.joined.as_ref().map(|it| it.membership.clone()),
+            membership: self.joined.as_ref().map(|joined| joined.membership.clone()),
         }
     }
 }
 
-/// An order on its way.
-struct Flying {
-    at: u64,
+/// An order in transit.
+struct PendingOrder {
+    deliver_at: u64,
     planner: usize,
     request: OrderRequest,
     is_answered: bool,
@@ -117,19 +118,19 @@
     options: WorldOptions,
     random: ChaCha8Rng,
     now: u64,
-    upstreams: Vec<ModelUpstream>,
+    upstreams: Vec<SimulatedUpstream>,
     planners: Vec<(GroupPlanner, u64)>,
-    flying: Vec<Flying>,
+    pending_orders: Vec<PendingOrder>,
     revision: u64,
-    next_run: u64,
+    next_incarnation: u64,
     holds: IndexMap<GroupId, (Vec<UpstreamId>, u64)>,
-    /// Who was ever ready in which group, epoch and list.
+    /// The members that were ever ready, by group, epoch and member list.
     ready: BTreeMap<(GroupId, u64, Vec<UpstreamId>), IndexSet<UpstreamId>>,
-    /// Serving groups, added up over the steps of the second half of the run.
-    served: u64,
-    steps: u64,
-    /// Promises that were broken.
-    pub broken: Vec<String>,
+    /// Number of serving groups, summed over the steps of the second half of the run.
+    serving_sum: u64,
+    counted_steps: u64,
+    /// Violated guarantees.
+    pub violations: Vec<String>,
 }
 
 fn spec() -> EngineSpec {
@@ -144,7 +145,10 @@
     let models = [model("large", 4, 0.5), model("small", 3, 0.5)];
     EngineSpec {
         slots: 8,
-        models: models.into_iter().map(|it| (it.name.clone(), it)).collect(),
+        models: models
+            .into_iter()
+            .map(|model| (model.name.clone(), model))
+            .collect(),
         loads_per_second: 10.0,
         parallel_loads: 6,
         open_time: Millis(300),
@@ -160,17 +164,17 @@
             now: 0,
             upstreams: Vec::new(),
             planners: Vec::new(),
-            flying: Vec::new(),
+            pending_orders: Vec::new(),
             revision: 10,
-            next_run: 0,
+            next_incarnation: 0,
             holds: IndexMap::new(),
             ready: BTreeMap::new(),
-            served: 0,
-            steps: 0,
-            broken: Vec::new(),
+            serving_sum: 0,
+            counted_steps: 0,
+            violations: Vec::new(),
         };
         for index in 0..18_u16 {
-            let upstream = world.start(
+            let upstream = world.start_upstream(
                 usize::from(index / 9),
                 ([10, 0, 0, 1], 9_000 + index).into(),
             );
@@ -180,28 +184,28 @@
         world
     }
 
-    fn start(&mut self, fabric: usize, addr: SocketAddr) -> ModelUpstream {
-        self.next_run += 1;
+    fn start_upstream(&mut self, fabric: usize, addr: SocketAddr) -> SimulatedUpstream {
+        self.next_incarnation += 1;
         self.revision += 1;
-        ModelUpstream {
-            id: UpstreamId::from(format!("i-{}", self.next_run)),
-            born: Some(UnixMillis(self.next_run)),
+        SimulatedUpstream {
+            id: UpstreamId::from(format!("i-{}", self.next_incarnation)),
+            started_at: Some(UnixMillis(self.next_incarnation)),
             fabric,
             addr,
             down_until: 0,
             cut_until: 0,
             cut_from_store: false,
             cut_from_coordinator: false,
-            beat_at: self.now,
-            begun: 0,
-            fence: 0,
-            top_epoch: 0,
+            entry_written_at: self.now,
+            orders_begun: 0,
+            highest_fence: 0,
+            highest_epoch: 0,
             staged: None,
             loading: None,
             warm: None,
             joined: None,
-            broken_at: None,
-            old_entry: None,
+            breaks_at: None,
+            previous_entry: None,
         }
     }
 
@@ -217,7 +221,7 @@
                     .collect()
             }
         };
-        self.trace(|| format!("takeover, held: {inherited:?}"));
+        self.trace(|| format!("takeover, inherited holds: {inherited:?}"));
         let planner = GroupPlanner::new(
             GroupOptions::default(),
             spec(),
@@ -226,40 +230,44 @@
             inherited,
             Millis(self.now),
         );
-        // An old one gives no more orders: it acts only while its lease is confirmed, and the
-        // lease ends before it can be taken over. What it gave may still be on its way.
+        // The previous coordinator sends no more orders: it acts only while its lease is confirmed,
+        // and the lease ends before a takeover. Its earlier orders may still be in transit.
         for (_, until) in &mut self.planners {
             *until = (*until).min(self.now);
         }
         self.planners.push((planner, u64::MAX));
     }
 
-    pub fn run(&mut self, length: u64) {
-        while self.now < length && self.broken.is_empty() {
-            self.now += STEP;
+    pub fn run(&mut self, length_ms: u64) {
+        while self.now < length_ms && self.violations.is_empty() {
+            self.now += STEP_MS;
             if self.now.is_multiple_of(1_000) {
-                self.trouble();
+                self.inject_faults();
             }
-            self.live();
-            self.deliver();
+            self.advance_upstreams();
+            self.deliver_orders();
             for index in 0..self.planners.len() {
-                self.plan(index);
+                self.step_planner(index);
             }
-            if self.now * 2 > length {
-                self.served += self.serving();
-                self.steps += 1;
+            if self.now * 2 > length_ms {
+                self.serving_sum += self.count_serving();
+                self.counted_steps += 1;
             }
         }
     }
 
-    /// Groups that served in the second half of the run, as a part of the four that fit.
-    pub fn serving_part(&self) -> f64 {
-        self.served as f64 / (self.steps.max(1) * 4) as f64
+    /// Average number of groups that served in the second half of the run, as a fraction of the
+    /// four that fit.
+    pub fn serving_share(&self) -> f64 {
+        self.serving_sum as f64 / (self.counted_steps.max(1) * 4) as f64
     }
 
-    fn serving(&self) -> u64 {
+    fn count_serving(&self) -> u64 {
         let open = self.upstreams.iter().filter(|upstream| {
-            let state = upstream.joined.as_ref().map(|it| it.membership.state);
+            let state = upstream
+                .joined
+                .as_ref()
+                .map(|joined| joined.membership.state);
             state == Some(MemberState::Open) && upstream.down_until <= self.now
         });
         open.count() as u64
@@ -267,18 +275,18 @@
 
     fn directory(&self) -> Vec<UpstreamEntry> {
         let listed = self.upstreams.iter().filter(|upstream| {
-            let is_written = upstream.down_until <= self.now || upstream.old_entry.is_some();
-            is_written && self.now - upstream.beat_at < LAPSE
+            let has_entry = upstream.down_until <= self.now || upstream.previous_entry.is_some();
+            has_entry && self.now - upstream.entry_written_at < ENTRY_TTL_MS
         });
         listed
-            .map(|upstream| match &upstream.old_entry {
+            .map(|upstream| match &upstream.previous_entry {
                 Some(entry) => entry.clone(),
                 None => upstream.entry(),
             })
             .collect()
     }
 
-    fn plan(&mut self, index: usize) {
+    fn step_planner(&mut self, index: usize) {
         let now = Millis(self.now);
         let is_current = index + 1 == self.planners.len();
         if self.planners[index].1 < self.now {
@@ -287,17 +295,17 @@
         let entries = self.directory();
         let revision = self.revision;
         let planner = &mut self.planners[index].0;
-        // A coordinator that was replaced goes on with what it knew.
+        // A coordinator that was replaced continues with the directory it last read.
         if is_current {
             planner.set_directory(entries.iter(), revision, now);
         }
         planner.record_traffic();
         for action in self.planners[index].0.step(now) {
-            self.act(index, action);
+            self.execute_action(index, action);
         }
     }
 
-    fn act(&mut self, index: usize, action: GroupAction) {
+    fn execute_action(&mut self, index: usize, action: GroupAction) {
         match action {
             GroupAction::Hold { group, members } => {
                 let planner = &mut self.planners[index].0;
@@ -305,8 +313,8 @@
                 self.holds.insert(group, (members, self.now + 12_000));
             }
             GroupAction::Query(target) => {
-                let outcome = self.ask(&target.incarnation.id, target.addr);
-                self.trace(|| format!("{index} asks {:?}: {outcome:?}", target.incarnation));
+                let outcome = self.query(&target.incarnation.id, target.addr);
+                self.trace(|| format!("{index} queries {:?}: {outcome:?}", target.incarnation));
                 let now = Millis(self.now);
                 self.planners[index]
                     .0
@@ -317,7 +325,7 @@
                 let is_lost = is_late || self.random.random_bool(self.options.lost_chance);
                 let delay = match is_late {
                     true => self.random.random_range(2_000..12_000),
-                    false => STEP,
+                    false => STEP_MS,
                 };
                 if is_lost {
                     let outcome = OrderOutcome::Unknown("lost".to_owned());
@@ -325,8 +333,8 @@
                         .0
                         .record_order_outcome(&request, &outcome);
                 }
-                self.flying.push(Flying {
-                    at: self.now + delay,
+                self.pending_orders.push(PendingOrder {
+                    deliver_at: self.now + delay,
                     planner: index,
                     request,
                     is_answered: !is_lost,
@@ -335,10 +343,11 @@
         }
     }
 
-    /// What the upstream at an address answers to a question for `id`.
-    fn ask(&self, id: &UpstreamId, addr: SocketAddr) -> QueryOutcome {
-        let there = self.upstreams.iter().find(|upstream| upstream.addr == addr);
-        let Some(upstream) = there.filter(|upstream| !upstream.cut_from_coordinator) else {
+    /// Returns the answer of the upstream at `addr` to a query for `id`.
+    fn query(&self, id: &UpstreamId, addr: SocketAddr) -> QueryOutcome {
+        let upstream_at_addr = self.upstreams.iter().find(|upstream| upstream.addr == addr);
+        let Some(upstream) = upstream_at_addr.filter(|upstream| !upstream.cut_from_coordinator)
+        else {
             return match self.options.trust_refusals {
                 true => QueryOutcome::Gone,
                 false => QueryOutcome::Silent,
@@ -351,27 +360,34 @@
             return QueryOutcome::Gone;
         }
         QueryOutcome::Answered(UpstreamReport {
-            born: upstream.born,
-            orders_begun: upstream.begun,
+            born: upstream.started_at,
+            orders_begun: upstream.orders_begun,
             is_busy: upstream.loading.is_some(),
             waiting: 0,
             running: 0,
-            membership: upstream.joined.as_ref().map(|it| it.membership.clone()),
+            membership: upstream
+                .joined
+                .as_ref()
+                .map(|joined| joined.membership.clone()),
         })
     }
 
-    fn deliver(&mut self) {
+    fn deliver_orders(&mut self) {
         let now = self.now;
-        let (due, later): (Vec<Flying>, Vec<Flying>) = std::mem::take(&mut self.flying)
-            .into_iter()
-            .partition(|it| it.at <= now);
-        self.flying = later;
+        let (due, later): (Vec<PendingOrder>, Vec<PendingOrder>) =
+            std::mem::take(&mut self.pending_orders)
+                .into_iter()
+                .partition(|order| order.deliver_at <= now);
+        self.pending_orders = later;
         for order in due {
-            let outcome = self.apply(&order.request);
+            let outcome = self.receive_order(&order.request);
             self.trace(|| {
                 let request = &order.request;
                 let id = &request.target.incarnation;
-                format!("{} to {id}: {:?} {outcome:?}", order.planner, request.order)
+                format!(
+                    "planner {} to {id}: {:?} {outcome:?}",
+                    order.planner, request.order
+                )
             });
             if order.is_answered {
                 self.planners[order.planner]
@@ -381,7 +397,7 @@
         }
     }
 
-    /// Prints what happens when `BERGAMOT_TRACE` is set.
+    /// Prints a line of the run's trace if `BERGAMOT_TRACE` is set.
     fn trace(&self, line: impl Fn() -> String) {
         if std::env::var_os("BERGAMOT_TRACE").is_some() {
             println!("t={} {}", self.now, line());
--- a/crates/groups/tests/support/world/trouble.rs
+++ b/crates/groups/tests/support/world/faults.rs
@@ -1,29 +1,29 @@
-//! What goes wrong, and what upstreams do by themselves.
+//! Faults, and the changes that upstreams undergo on their own.
 
 use super::*;
 
 impl World {
-    pub(super) fn trouble(&mut self) {
+    pub(super) fn inject_faults(&mut self) {
         for index in 0..self.upstreams.len() {
             if self.random.random_bool(self.options.crash_chance) {
                 let fabric = self.upstreams[index].fabric;
                 let addr = self.upstreams[index].addr;
                 let staged = self.upstreams[index].staged.clone();
-                let down = self.now + self.random.random_range(1_000..6_000);
-                let mut next = self.start(fabric, addr);
+                let down_until = self.now + self.random.random_range(1_000..6_000);
+                let mut next = self.start_upstream(fabric, addr);
                 next.staged = staged;
-                let same_id = self.options.same_id_part;
-                if same_id > 0.0 && self.random.random_bool(same_id) {
-                    let before = &self.upstreams[index];
-                    next.id = before.id.clone();
-                    next.cut_until = before.cut_until;
-                    next.cut_from_store = before.cut_from_store;
-                    next.cut_from_coordinator = before.cut_from_coordinator;
-                    // Its old entry stands until it lapses, or is written over.
-                    next.beat_at = before.beat_at;
-                    next.old_entry = Some(before.entry());
+                let same_id_share = self.options.same_id_share;
+                if same_id_share > 0.0 && self.random.random_bool(same_id_share) {
+                    let previous = &self.upstreams[index];
+                    next.id = previous.id.clone();
+                    next.cut_until = previous.cut_until;
+                    next.cut_from_store = previous.cut_from_store;
+                    next.cut_from_coordinator = previous.cut_from_coordinator;
+                    // The old entry stays until it expires or is overwritten.
+                    next.entry_written_at = previous.entry_written_at;
+                    next.previous_entry = Some(previous.entry());
                 }
-                next.down_until = down;
+                next.down_until = down_until;
                 self.upstreams[index] = next;
             }
             if self.random.random_bool(self.options.cut_chance) {
@@ -34,7 +34,7 @@
                 upstream.cut_from_store = kind & 1 != 0;
                 upstream.cut_from_coordinator = kind & 2 != 0;
                 let id = upstream.id.clone();
-                self.trace(|| format!("{id} is cut off, {kind}, until {until}"));
+                self.trace(|| format!("{id} is cut off, kind {kind}, until {until}"));
             }
         }
         if self.random.random_bool(self.options.takeover_chance) {
@@ -42,33 +42,33 @@
         }
     }
 
-    /// Moves every upstream on.
-    pub(super) fn live(&mut self) {
+    /// Advances every upstream to the current time.
+    pub(super) fn advance_upstreams(&mut self) {
         let now = self.now;
-        let mut changed = 0;
+        let mut change_count = 0;
         for upstream in &mut self.upstreams {
             if upstream.cut_until <= now {
                 upstream.cut_from_store = false;
                 upstream.cut_from_coordinator = false;
             }
             if upstream.down_until <= now && !upstream.cut_from_store {
-                upstream.beat_at = now;
-                upstream.old_entry = None;
+                upstream.entry_written_at = now;
+                upstream.previous_entry = None;
             }
             if upstream
                 .loading
                 .as_ref()
-                .is_some_and(|(_, due)| *due <= now)
+                .is_some_and(|(_, done_at)| *done_at <= now)
             {
                 upstream.staged = upstream.loading.take().map(|(model, _)| model);
-                changed += 1;
+                change_count += 1;
             }
             if let Some(joined) = &mut upstream.joined
                 && joined.membership.state == MemberState::Joining
-                && joined.due <= now
+                && joined.ready_at <= now
             {
                 joined.membership.state = MemberState::Ready;
-                changed += 1;
+                change_count += 1;
                 let key = (
                     joined.membership.group.clone(),
                     joined.membership.epoch,
@@ -80,14 +80,14 @@
                     .insert(upstream.id.clone());
             }
         }
-        self.stall();
-        self.revision += changed;
-        let holds_end = now;
-        self.holds.retain(|_, (_, until)| *until > holds_end);
+        self.break_stalled_groups();
+        self.revision += change_count;
+        let expired_at = now;
+        self.holds.retain(|_, (_, until)| *until > expired_at);
     }
 
-    /// A group that lost a member breaks after the stall time.
-    pub(super) fn stall(&mut self) {
+    /// Breaks groups that lost a member once the stall time has passed.
+    pub(super) fn break_stalled_groups(&mut self) {
         let now = self.now;
         let alive: IndexMap<UpstreamId, Option<(GroupId, u64)>> = self
             .upstreams
@@ -95,7 +95,8 @@
             .filter(|upstream| upstream.down_until <= now)
             .map(|upstream| {
                 let joined = upstream.joined.as_ref();
-                let key = joined.map(|it| (it.membership.group.clone(), it.membership.epoch));
+                let key =
+                    joined.map(|joined| (joined.membership.group.clone(), joined.membership.epoch));
                 (upstream.id.clone(), key)
             })
             .collect();
@@ -104,17 +105,17 @@
                 continue;
             };
             let key = (joined.membership.group.clone(), joined.membership.epoch);
-            let is_whole = joined
+            let is_complete = joined
                 .members
                 .iter()
-                .all(|id| alive.get(id).is_some_and(|it| it.as_ref() == Some(&key)));
+                .all(|id| alive.get(id).is_some_and(|own| own.as_ref() == Some(&key)));
             let is_open = joined.membership.state == MemberState::Open;
-            if is_whole || !is_open {
-                upstream.broken_at = None;
+            if is_complete || !is_open {
+                upstream.breaks_at = None;
                 continue;
             }
-            let at = *upstream.broken_at.get_or_insert(now + STALL);
-            if at <= now {
+            let breaks_at = *upstream.breaks_at.get_or_insert(now + STALL_MS);
+            if breaks_at <= now {
                 joined.membership.state = MemberState::Broken;
                 self.revision += 1;
             }
--- a/crates/groups/tests/support/world/upstreams.rs
+++ b/crates/groups/tests/support/world/upstreams.rs
@@ -1,16 +1,16 @@
-//! Orders as upstreams carry them out, and the promises checked at each.
+//! Execution of orders by the upstreams, with checks of the guarantees.
 
 use super::*;
 
 impl World {
-    pub(super) fn apply(&mut self, request: &OrderRequest) -> OrderOutcome {
+    pub(super) fn receive_order(&mut self, request: &OrderRequest) -> OrderOutcome {
         let target = &request.target;
-        let found = self
+        let position = self
             .upstreams
             .iter()
             .position(|upstream| upstream.addr == target.addr);
-        let Some(index) = found else {
-            return OrderOutcome::Unknown("nobody".to_owned());
+        let Some(index) = position else {
+            return OrderOutcome::Unknown("no upstream at the address".to_owned());
         };
         let upstream = &self.upstreams[index];
         if upstream.cut_from_coordinator || upstream.down_until > self.now {
@@ -19,27 +19,27 @@
         if upstream.id != target.incarnation.id {
             return OrderOutcome::Gone;
         }
-        if request.fence < upstream.fence {
+        if request.fence < upstream.highest_fence {
             return OrderOutcome::Fenced;
         }
         if request
             .expected
-            .is_some_and(|expected| expected != upstream.begun)
+            .is_some_and(|expected| expected != upstream.orders_begun)
         {
             return OrderOutcome::Unfit;
         }
-        let outcome = self.carry_out(index, &request.order);
+        let outcome = self.execute_order(index, &request.order);
         let upstream = &mut self.upstreams[index];
-        upstream.fence = upstream.fence.max(request.fence);
+        upstream.highest_fence = upstream.highest_fence.max(request.fence);
         let is_leave = matches!(request.order, GroupOrder::Leave { .. });
         if outcome == OrderOutcome::Begun || (is_leave && outcome == OrderOutcome::Holds) {
-            upstream.begun += 1;
+            upstream.orders_begun += 1;
             self.revision += 1;
         }
         outcome
     }
 
-    pub(super) fn carry_out(&mut self, index: usize, order: &GroupOrder) -> OrderOutcome {
+    pub(super) fn execute_order(&mut self, index: usize, order: &GroupOrder) -> OrderOutcome {
         let now = self.now;
         match order {
             GroupOrder::Stage { model } => {
@@ -56,29 +56,29 @@
                 model,
                 members,
             } => {
-                if *epoch < self.upstreams[index].top_epoch {
+                if *epoch < self.upstreams[index].highest_epoch {
                     return OrderOutcome::Fenced;
                 }
-                let is_same = |joined: &Joined| {
+                let is_same = |joined: &JoinedGroup| {
                     let membership = &joined.membership;
-                    let is_list = joined.members == *members;
-                    membership.group == *group && membership.epoch == *epoch && is_list
+                    let has_same_members = joined.members == *members;
+                    membership.group == *group && membership.epoch == *epoch && has_same_members
                 };
                 if self.upstreams[index].joined.as_ref().is_some_and(is_same) {
                     return OrderOutcome::Holds;
                 }
                 self.check_join(index, group, *epoch);
                 let upstream = &mut self.upstreams[index];
-                let time = match (&upstream.warm, &upstream.staged) {
+                let join_time_ms = match (&upstream.warm, &upstream.staged) {
                     (Some(warm), _) if warm == model => 200,
                     (_, Some(staged)) if staged == model => 1_000,
                     _ => 3_000,
                 };
-                upstream.top_epoch = *epoch;
+                upstream.highest_epoch = *epoch;
                 upstream.warm = Some(model.clone());
                 upstream.staged = Some(model.clone());
                 let rank = members.iter().position(|id| *id == upstream.id);
-                upstream.joined = Some(Joined {
+                upstream.joined = Some(JoinedGroup {
                     membership: GroupMembership {
                         group: group.clone(),
                         epoch: *epoch,
@@ -86,20 +86,20 @@
                         state: MemberState::Joining,
                     },
                     members: members.clone(),
-                    due: now + time,
+                    ready_at: now + join_time_ms,
                 });
                 OrderOutcome::Begun
             }
-            GroupOrder::Open { group, epoch } => self.open(index, group, *epoch),
+            GroupOrder::Open { group, epoch } => self.open_group(index, group, *epoch),
             GroupOrder::Close { group, epoch, .. } => {
-                let Some(joined) = self.joined_in(index, group, *epoch) else {
+                let Some(joined) = self.joined_group(index, group, *epoch) else {
                     return OrderOutcome::Unfit;
                 };
                 joined.membership.state = MemberState::Ready;
                 OrderOutcome::Begun
             }
             GroupOrder::Leave { group, epoch } => {
-                if self.joined_in(index, group, *epoch).is_none() {
+                if self.joined_group(index, group, *epoch).is_none() {
                     return OrderOutcome::Unfit;
                 }
                 self.upstreams[index].joined = None;
@@ -108,45 +108,49 @@
         }
     }
 
-    pub(super) fn joined_in(
+    pub(super) fn joined_group(
         &mut self,
         index: usize,
         group: &GroupId,
         epoch: u64,
-    ) -> Option<&mut Joined> {
+    ) -> Option<&mut JoinedGroup> {
         let joined = self.upstreams[index].joined.as_mut()?;
         let membership = &joined.membership;
         (membership.group == *group && membership.epoch == epoch).then_some(joined)
     }
 
-    /// No member joins another group while the leader of its old one is open.
+    /// Checks that no member joins another group while the leader of its old group is open.
     pub(super) fn check_join(&mut self, index: usize, group: &GroupId, epoch: u64) {
         let Some(old) = self.upstreams[index].joined.clone() else {
-            return self.check_left(index);
+            return self.check_departed_member(index);
         };
         if old.membership.group == *group && old.membership.epoch == epoch {
             return;
         }
-        self.check_leader(&old.members[0], &old.membership, index);
+        self.check_old_leader(&old.members[0], &old.membership, index);
     }
 
-    /// One that left may still hold up a group that has not broken yet.
-    pub(super) fn check_left(&mut self, index: usize) {
+    /// Checks that a member that left its group does not join another one while the old group is
+    /// stalled but not broken.
+    pub(super) fn check_departed_member(&mut self, index: usize) {
         let id = self.upstreams[index].id.clone();
-        let standing = self.upstreams.iter().find(|upstream| {
+        let stalled_leader = self.upstreams.iter().find(|upstream| {
             let joined = upstream.joined.as_ref();
-            let is_open = joined.is_some_and(|it| {
-                it.membership.state == MemberState::Open && it.members.contains(&id)
+            let is_open = joined.is_some_and(|joined| {
+                joined.membership.state == MemberState::Open && joined.members.contains(&id)
             });
             is_open && upstream.down_until <= self.now
         });
-        if let Some(leader) = standing {
-            let problem = format!("t={} {id} joins while {} stands still", self.now, leader.id);
-            self.broken.push(problem);
+        if let Some(leader) = stalled_leader {
+            let violation = format!(
+                "t={} {id} joins while the group of {} is stalled",
+                self.now, leader.id
+            );
+            self.violations.push(violation);
         }
     }
 
-    pub(super) fn check_leader(
+    pub(super) fn check_old_leader(
         &mut self,
         leader: &UpstreamId,
         old: &GroupMembership,
@@ -159,21 +163,21 @@
         else {
             return;
         };
-        let is_open = upstream.joined.as_ref().is_some_and(|it| {
-            it.membership.group == old.group
-                && it.membership.epoch == old.epoch
-                && it.membership.state == MemberState::Open
+        let is_open = upstream.joined.as_ref().is_some_and(|joined| {
+            joined.membership.group == old.group
+                && joined.membership.epoch == old.epoch
+                && joined.membership.state == MemberState::Open
         });
         if is_open && upstream.down_until <= self.now {
             let id = &self.upstreams[index].id;
-            let problem = format!("t={} {id} joins while {leader} is open", self.now);
-            self.broken.push(problem);
+            let violation = format!("t={} {id} joins while {leader} is open", self.now);
+            self.violations.push(violation);
         }
     }
 
-    /// A group opens only when every member was ready in it.
-    pub(super) fn open(&mut self, index: usize, group: &GroupId, epoch: u64) -> OrderOutcome {
-        let Some(joined) = self.joined_in(index, group, epoch) else {
+    /// Opens a group, and checks that every member was ready in it.
+    pub(super) fn open_group(&mut self, index: usize, group: &GroupId, epoch: u64) -> OrderOutcome {
+        let Some(joined) = self.joined_group(index, group, epoch) else {
             return OrderOutcome::Unfit;
         };
         if joined.membership.state != MemberState::Ready {
@@ -185,12 +189,12 @@
             .as_str()
             .rsplit_once('.')
             .map_or("", |(model, _)| model);
-        let size = spec().models.get(model).map_or(0, |it| it.group_size);
+        let size = spec().models.get(model).map_or(0, |model| model.group_size);
         let key = (group.clone(), epoch, members.clone());
         let ready = self.ready.get(&key).cloned().unwrap_or_default();
-        let is_whole = members.len() == size && members.iter().all(|id| ready.contains(id));
-        if !is_whole {
-            self.broken
+        let is_complete = members.len() == size && members.iter().all(|id| ready.contains(id));
+        if !is_complete {
+            self.violations
                 .push(format!("t={} {group} opens without all members", self.now));
         }
         OrderOutcome::Begun
