--- a/crates/claims/src/event.rs
+++ b/crates/claims/src/event.rs
@@ -15,7 +15,7 @@
     /// The roster changed.
     Roster(RosterRecord),
     /// An entry VM asks for a claim.
-    Ask(ClaimAsk),
+    Request(ClaimRequest),
     /// The asker tells what became of the request. None says that it truly did not run.
     Finish {
         /// The key.
@@ -87,7 +87,7 @@
 
 /// An entry VM's question whether it may run a request.
 #[derive(Clone, PartialEq, Eq, Debug, serde::Serialize, serde::Deserialize)]
-pub struct ClaimAsk {
+pub struct ClaimRequest {
     /// Names the question, for the verdict.
     pub ask: u64,
     /// The key.
@@ -135,7 +135,7 @@
 /// Something the claims want done.
 #[derive(Clone, PartialEq, Debug)]
 pub enum ClaimAction {
-    /// Answer an [`ClaimEvent::Ask`].
+    /// Answer an [`ClaimEvent::Request`].
     Verdict {
         /// The question.
         ask: u64,
--- a/crates/claims/src/lib.rs
+++ b/crates/claims/src/lib.rs
@@ -14,7 +14,7 @@
 pub mod state;
 pub mod takeover;
 
-pub use event::{ClaimAction, ClaimAsk, ClaimEvent, CopyChange, FinishOutcome};
+pub use event::{ClaimAction, ClaimEvent, ClaimRequest, CopyChange, FinishOutcome};
 pub use record::{ClaimAsker, ClaimKey, ClaimPhase, ClaimRecord, ClaimSerial, KeptAnswer, Verdict};
 pub use state::{ClaimOptions, ClaimState};
 pub use takeover::SlotPhase;
--- a/crates/claims/src/state.rs
+++ b/crates/claims/src/state.rs
@@ -127,7 +127,7 @@
         match event {
             ClaimEvent::Tick => self.tick(now),
             ClaimEvent::Roster(record) => self.take_roster(now, record),
-            ClaimEvent::Ask(question) => self.take_ask(now, question),
+            ClaimEvent::Request(question) => self.take_ask(now, question),
             ClaimEvent::Finish {
                 key,
                 asker,
--- a/crates/claims/src/state/grants.rs
+++ b/crates/claims/src/state/grants.rs
@@ -4,13 +4,13 @@
 use bergamot_types::prelude::*;
 
 use super::{ClaimState, PendingGrant, StoredClaim, export, known_verdict};
-use crate::event::{ClaimAction, ClaimAsk, CopyChange, FinishOutcome};
+use crate::event::{ClaimAction, ClaimRequest, CopyChange, FinishOutcome};
 use crate::record::{ClaimAsker, ClaimKey, ClaimPhase, ClaimSerial, Verdict};
 use crate::takeover::{SlotPhase, co_holders};
 
 impl ClaimState {
-    pub(super) fn take_ask(&mut self, now: Millis, question: ClaimAsk) -> Vec<ClaimAction> {
-        let ClaimAsk {
+    pub(super) fn take_ask(&mut self, now: Millis, question: ClaimRequest) -> Vec<ClaimAction> {
+        let ClaimRequest {
             ask,
             key,
             body,
--- a/crates/entry/src/duty/claims.rs
+++ b/crates/entry/src/duty/claims.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bergamot_claims::{
-    ClaimAction, ClaimAsk, ClaimAsker, ClaimEvent, ClaimKey, ClaimState, FinishOutcome, Verdict,
+    ClaimAction, ClaimAsker, ClaimEvent, ClaimKey, ClaimRequest, ClaimState, FinishOutcome, Verdict,
 };
 use bergamot_peer::{Answer, Question};
 use bergamot_types::prelude::*;
@@ -149,7 +149,7 @@
         };
         let owner = owner.clone();
         let asker = self.asker(attempt);
-        let mut question = ClaimAsk {
+        let mut question = ClaimRequest {
             ask: 0,
             key,
             body,
@@ -159,7 +159,7 @@
         };
         if owner == self.shared.settings.entry {
             question.ask = self.wait_for(Waiting::Local(attempt, reply));
-            self.feed(ClaimEvent::Ask(question));
+            self.feed(ClaimEvent::Request(question));
             return;
         }
         let shared = Arc::clone(&self.shared);
@@ -239,7 +239,7 @@
             }
             Question::Claim(question) => {
                 let ask = self.wait_for(Waiting::Peer(reply));
-                self.feed(ClaimEvent::Ask(ClaimAsk { ask, ..question }));
+                self.feed(ClaimEvent::Request(ClaimRequest { ask, ..question }));
             }
             Question::Finish {
                 key,
--- a/crates/entry/src/duty/claims/owner.rs
+++ b/crates/entry/src/duty/claims/owner.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use bergamot_claims::{ClaimAsk, FinishOutcome, Verdict};
+use bergamot_claims::{ClaimRequest, FinishOutcome, Verdict};
 use bergamot_peer::{Answer, Question};
 use bergamot_types::prelude::*;
 
@@ -12,7 +12,7 @@
 pub(super) async fn ask_owner(
     shared: &Arc<SharedState>,
     owner: &EntryId,
-    question: ClaimAsk,
+    question: ClaimRequest,
 ) -> Verdict {
     let Some(addr) = shared.peer_addr(owner) else {
         return Verdict::Unavailable;
--- a/crates/load/src/capacity/decisions.rs
+++ b/crates/load/src/capacity/decisions.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use bergamot_bundle::{KeyRing, RollKeeper, RollRecord, SignedBundle, SignerKey};
-use bergamot_claims::{ClaimAsk, ClaimAsker, ClaimEvent, ClaimKey, ClaimOptions, ClaimState};
+use bergamot_claims::{ClaimAsker, ClaimEvent, ClaimKey, ClaimOptions, ClaimRequest, ClaimState};
 use bergamot_entry::control::ControlEvent;
 use bergamot_placement::{
     DomainRecord, EnginePhase, EngineReport, PlacementAction, PlacementEvent, PlacementOptions,
@@ -263,7 +263,7 @@
     let mut state = ClaimState::new(me.clone(), ClaimOptions::default());
     state.handle(Millis(1_000), ClaimEvent::Roster(roster(1)));
     for number in 0..count {
-        let ask = ClaimAsk {
+        let request = ClaimRequest {
             ask: number as u64,
             key: ClaimKey::of(&ClientAccount::new("a"), &number.to_string()),
             body: 1,
@@ -275,7 +275,7 @@
             epoch: 1,
             grant: Millis(60_000),
         };
-        state.handle(Millis(1_000), ClaimEvent::Ask(ask));
+        state.handle(Millis(1_000), ClaimEvent::Request(request));
     }
     let bytes = resident() - before;
     assert_eq!(state.len(), count, "every claim was granted");
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -2,7 +2,7 @@
 
 use bergamot_bundle::{RollRecord, SignedBundle};
 use bergamot_claims::{
-    ClaimAsk, ClaimAsker, ClaimKey, ClaimRecord, CopyChange, FinishOutcome, Verdict,
+    ClaimAsker, ClaimKey, ClaimRecord, ClaimRequest, CopyChange, FinishOutcome, Verdict,
 };
 use bergamot_quarantine::QuarantineRecord;
 use bergamot_roster::RosterRecord;
@@ -13,7 +13,7 @@
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub enum Question {
     /// May this request run?
-    Claim(ClaimAsk),
+    Claim(ClaimRequest),
     /// This is what became of it.
     Finish {
         /// The key.
--- a/crates/proof/tests/claims/calls.rs
+++ b/crates/proof/tests/claims/calls.rs
@@ -27,7 +27,7 @@
             incarnation,
             attempt,
         };
-        let question = ClaimAsk {
+        let question = ClaimRequest {
             ask: 0,
             key,
             body: 7,
@@ -55,7 +55,7 @@
                 let asker = question.asker.clone();
                 let reply = Reply::Verdict(from, asker.incarnation, question.key, asker);
                 node.replies.insert(ask, reply);
-                ClaimEvent::Ask(ClaimAsk { ask, ..question })
+                ClaimEvent::Request(ClaimRequest { ask, ..question })
             }
             Asked::Event(event) => event,
         };
--- a/crates/proof/tests/claims/main.rs
+++ b/crates/proof/tests/claims/main.rs
@@ -8,7 +8,7 @@
 mod trouble;
 
 use bergamot_claims::{
-    ClaimAction, ClaimAsk, ClaimAsker, ClaimEvent, ClaimKey, ClaimOptions, ClaimState,
+    ClaimAction, ClaimAsker, ClaimEvent, ClaimKey, ClaimOptions, ClaimRequest, ClaimState,
     FinishOutcome, KeptAnswer, Verdict,
 };
 use bergamot_roster::{Member, RosterRecord};
@@ -46,7 +46,7 @@
 
 #[derive(Clone)]
 enum Asked {
-    Claim(ClaimAsk),
+    Claim(ClaimRequest),
     Event(ClaimEvent),
 }
 
