--- a/crates/claims/src/event.rs
+++ b/crates/claims/src/event.rs
@@ -28,7 +28,7 @@
     /// An owner asks to hold a copy.
     Copy {
         /// Names the question, for the answer.
-        ask: u64,
+        call_id: u64,
         /// The owner's epoch.
         epoch: u64,
         /// The owner.
@@ -48,7 +48,7 @@
     /// A new owner gives copies of what it collected.
     Replica {
         /// Names the question, for the answer.
-        ask: u64,
+        call_id: u64,
         /// The owner's epoch.
         epoch: u64,
         /// The claims.
@@ -66,7 +66,7 @@
     /// A new owner asks what is known of some slots.
     Collect {
         /// Names the question, for the answer.
-        ask: u64,
+        call_id: u64,
         /// The new owner's epoch.
         epoch: u64,
         /// The slots.
@@ -89,7 +89,7 @@
 #[derive(Clone, PartialEq, Eq, Debug, serde::Serialize, serde::Deserialize)]
 pub struct ClaimRequest {
     /// Names the question, for the verdict.
-    pub ask: u64,
+    pub call_id: u64,
     /// The key.
     pub key: ClaimKey,
     /// Hash of the request.
@@ -138,7 +138,7 @@
     /// Answer an [`ClaimEvent::Request`].
     Verdict {
         /// The question.
-        ask: u64,
+        call_id: u64,
         /// The answer.
         verdict: Verdict,
     },
@@ -156,7 +156,7 @@
     /// Answer a [`ClaimEvent::Copy`].
     AnswerCopy {
         /// The question.
-        ask: u64,
+        call_id: u64,
         /// Whether the copy is held.
         is_held: bool,
     },
@@ -174,7 +174,7 @@
     /// Answer a [`ClaimEvent::Replica`].
     AnswerReplica {
         /// The question.
-        ask: u64,
+        call_id: u64,
         /// Whether the copies are held.
         is_held: bool,
     },
@@ -190,7 +190,7 @@
     /// Answer a [`ClaimEvent::Collect`]; none when the epoch is not known here.
     AnswerCollect {
         /// The question.
-        ask: u64,
+        call_id: u64,
         /// The claims.
         records: Option<Vec<ClaimRecord>>,
     },
--- a/crates/claims/src/state.rs
+++ b/crates/claims/src/state.rs
@@ -48,7 +48,7 @@
 
 #[derive(Clone, Debug)]
 struct PendingGrant {
-    ask: u64,
+    call_id: u64,
     key: ClaimKey,
     serial: ClaimSerial,
     untried: Vec<EntryId>,
@@ -134,12 +134,12 @@
                 outcome,
             } => self.take_finish(now, key, &asker, outcome),
             ClaimEvent::Copy {
-                ask,
+                call_id,
                 epoch,
                 owner,
                 change,
             } => vec![ClaimAction::AnswerCopy {
-                ask,
+                call_id,
                 is_held: self.hold_copy(now, epoch, &owner, change),
             }],
             ClaimEvent::Copied {
@@ -148,11 +148,11 @@
                 is_held,
             } => self.take_copied(now, op, &holder, is_held),
             ClaimEvent::Replica {
-                ask,
+                call_id,
                 epoch,
                 records,
             } => vec![ClaimAction::AnswerReplica {
-                ask,
+                call_id,
                 is_held: self.hold_replica(now, epoch, records),
             }],
             ClaimEvent::Replicated {
@@ -160,9 +160,13 @@
                 epoch,
                 slots,
             } => self.take_replicated(&holder, epoch, &slots),
-            ClaimEvent::Collect { ask, epoch, slots } => {
+            ClaimEvent::Collect {
+                call_id,
+                epoch,
+                slots,
+            } => {
                 vec![ClaimAction::AnswerCollect {
-                    ask,
+                    call_id,
                     records: self.tell(now, epoch, &slots),
                 }]
             }
--- a/crates/claims/src/state/grants.rs
+++ b/crates/claims/src/state/grants.rs
@@ -11,14 +11,14 @@
 impl ClaimState {
     pub(super) fn take_ask(&mut self, now: Millis, question: ClaimRequest) -> Vec<ClaimAction> {
         let ClaimRequest {
-            ask,
+            call_id,
             key,
             body,
             asker,
             epoch,
             grant,
         } = question;
-        let verdict = |verdict| vec![ClaimAction::Verdict { ask, verdict }];
+        let verdict = |verdict| vec![ClaimAction::Verdict { call_id, verdict }];
         if epoch != self.roster.epoch || !self.roster.holds(&asker.entry, asker.incarnation) {
             return verdict(Verdict::Unavailable);
         }
@@ -60,7 +60,7 @@
         }
         let first = untried.remove(0);
         let grant = PendingGrant {
-            ask,
+            call_id,
             key,
             serial,
             untried,
@@ -104,7 +104,7 @@
 
     pub(super) fn refuse(&self, grant: &PendingGrant) -> Vec<ClaimAction> {
         let mut actions = vec![ClaimAction::Verdict {
-            ask: grant.ask,
+            call_id: grant.call_id,
             verdict: Verdict::Unavailable,
         }];
         // A holder may have the copy although its answer was lost.
@@ -140,7 +140,7 @@
             return Vec::new();
         };
         vec![ClaimAction::Verdict {
-            ask: grant.ask,
+            call_id: grant.call_id,
             verdict: Verdict::Granted,
         }]
     }
@@ -205,7 +205,7 @@
         let verdict = Verdict::Unavailable;
         given_up
             .map(|grant| ClaimAction::Verdict {
-                ask: grant.ask,
+                call_id: grant.call_id,
                 verdict,
             })
             .into_iter()
--- a/crates/entry/src/duty/claims.rs
+++ b/crates/entry/src/duty/claims.rs
@@ -150,7 +150,7 @@
         let owner = owner.clone();
         let asker = self.asker(attempt);
         let mut question = ClaimRequest {
-            ask: 0,
+            call_id: 0,
             key,
             body,
             asker,
@@ -158,7 +158,7 @@
             grant,
         };
         if owner == self.shared.settings.entry {
-            question.ask = self.wait_for(Waiting::Local(attempt, reply));
+            question.call_id = self.wait_for(Waiting::Local(attempt, reply));
             self.feed(ClaimEvent::Request(question));
             return;
         }
@@ -238,8 +238,11 @@
                 let _ = reply.send(Answer::Claim(Verdict::Unavailable));
             }
             Question::Claim(question) => {
-                let ask = self.wait_for(Waiting::Peer(reply));
-                self.feed(ClaimEvent::Request(ClaimRequest { ask, ..question }));
+                let call_id = self.wait_for(Waiting::Peer(reply));
+                self.feed(ClaimEvent::Request(ClaimRequest {
+                    call_id,
+                    ..question
+                }));
             }
             Question::Finish {
                 key,
@@ -258,25 +261,29 @@
                 owner,
                 change,
             } => {
-                let ask = self.wait_for(Waiting::Peer(reply));
+                let call_id = self.wait_for(Waiting::Peer(reply));
                 self.feed(ClaimEvent::Copy {
-                    ask,
+                    call_id,
                     epoch,
                     owner,
                     change,
                 });
             }
             Question::Replica { epoch, records } => {
-                let ask = self.wait_for(Waiting::Peer(reply));
+                let call_id = self.wait_for(Waiting::Peer(reply));
                 self.feed(ClaimEvent::Replica {
-                    ask,
+                    call_id,
                     epoch,
                     records,
                 });
             }
             Question::Collect { epoch, slots } => {
-                let ask = self.wait_for(Waiting::Peer(reply));
-                self.feed(ClaimEvent::Collect { ask, epoch, slots });
+                let call_id = self.wait_for(Waiting::Peer(reply));
+                self.feed(ClaimEvent::Collect {
+                    call_id,
+                    epoch,
+                    slots,
+                });
             }
             _ => {
                 let _ = reply.send(Answer::Refused);
@@ -299,7 +306,7 @@
 
     fn carry_out(&mut self, action: ClaimAction) {
         match action {
-            ClaimAction::Verdict { ask, verdict } => match self.waiting.swap_remove(&ask) {
+            ClaimAction::Verdict { call_id, verdict } => match self.waiting.swap_remove(&call_id) {
                 Some(Waiting::Local(attempt, reply)) => {
                     let _ = reply.send((attempt, verdict));
                 }
@@ -308,12 +315,12 @@
                 }
                 None => {}
             },
-            ClaimAction::AnswerCopy { ask, is_held }
-            | ClaimAction::AnswerReplica { ask, is_held } => {
-                self.answer(ask, Answer::Held(is_held));
+            ClaimAction::AnswerCopy { call_id, is_held }
+            | ClaimAction::AnswerReplica { call_id, is_held } => {
+                self.answer(call_id, Answer::Held(is_held));
             }
-            ClaimAction::AnswerCollect { ask, records } => {
-                self.answer(ask, Answer::Collected(records));
+            ClaimAction::AnswerCollect { call_id, records } => {
+                self.answer(call_id, Answer::Collected(records));
             }
             ClaimAction::SendCopy {
                 op,
--- a/crates/load/src/capacity/decisions.rs
+++ b/crates/load/src/capacity/decisions.rs
@@ -264,7 +264,7 @@
     state.handle(Millis(1_000), ClaimEvent::Roster(roster(1)));
     for number in 0..count {
         let request = ClaimRequest {
-            ask: number as u64,
+            call_id: number as u64,
             key: ClaimKey::of(&ClientAccount::new("a"), &number.to_string()),
             body: 1,
             asker: ClaimAsker {
--- a/crates/proof/tests/claims/actions.rs
+++ b/crates/proof/tests/claims/actions.rs
@@ -25,11 +25,11 @@
     ) {
         let to = self.node_of(to);
         let node = &mut self.nodes[to];
-        let ask = node.next_ask;
+        let call_id = node.next_ask;
         node.next_ask += 1;
-        node.replies.insert(ask, reply);
+        node.replies.insert(call_id, reply);
         let incarnation = node.incarnation;
-        let event = make(ask);
+        let event = make(call_id);
         self.send(
             from,
             to,
@@ -40,8 +40,8 @@
     pub(super) fn carry_out(&mut self, node: usize, action: ClaimAction) {
         let incarnation = self.nodes[node].incarnation;
         match action {
-            ClaimAction::Verdict { ask, verdict } => {
-                if let Some(Reply::Verdict(to, inc, key, asker)) = self.reply(node, ask) {
+            ClaimAction::Verdict { call_id, verdict } => {
+                if let Some(Reply::Verdict(to, inc, key, asker)) = self.reply(node, call_id) {
                     let message = Message::Verdict(to, inc, key, asker, verdict);
                     self.send(node, to, message);
                 }
@@ -56,8 +56,8 @@
                 self.ask(
                     node,
                     &to,
-                    |ask| ClaimEvent::Copy {
-                        ask,
+                    |call_id| ClaimEvent::Copy {
+                        call_id,
                         epoch,
                         owner,
                         change,
@@ -65,8 +65,8 @@
                     Reply::Copy(node, incarnation, op),
                 );
             }
-            ClaimAction::AnswerCopy { ask, is_held } => {
-                if let Some(Reply::Copy(to, inc, op)) = self.reply(node, ask) {
+            ClaimAction::AnswerCopy { call_id, is_held } => {
+                if let Some(Reply::Copy(to, inc, op)) = self.reply(node, call_id) {
                     let event = ClaimEvent::Copied {
                         op,
                         holder: entry(node),
@@ -83,15 +83,15 @@
             } => self.ask(
                 node,
                 &to,
-                |ask| ClaimEvent::Replica {
-                    ask,
+                |call_id| ClaimEvent::Replica {
+                    call_id,
                     epoch,
                     records,
                 },
                 Reply::Replica(node, incarnation, epoch, slots),
             ),
-            ClaimAction::AnswerReplica { ask, is_held } => {
-                if let Some(Reply::Replica(to, inc, epoch, slots)) = self.reply(node, ask)
+            ClaimAction::AnswerReplica { call_id, is_held } => {
+                if let Some(Reply::Replica(to, inc, epoch, slots)) = self.reply(node, call_id)
                     && is_held
                 {
                     let event = ClaimEvent::Replicated {
@@ -105,16 +105,16 @@
             ClaimAction::SendCollect { to, epoch, slots } => self.ask(
                 node,
                 &to,
-                |ask| ClaimEvent::Collect {
-                    ask,
+                |call_id| ClaimEvent::Collect {
+                    call_id,
                     epoch,
                     slots: slots.clone(),
                 },
                 Reply::Collect(node, incarnation, epoch, slots.clone()),
             ),
-            ClaimAction::AnswerCollect { ask, records } => {
+            ClaimAction::AnswerCollect { call_id, records } => {
                 if let (Some(Reply::Collect(to, inc, epoch, slots)), Some(records)) =
-                    (self.reply(node, ask), records)
+                    (self.reply(node, call_id), records)
                 {
                     let event = ClaimEvent::Collected {
                         holder: entry(node),
@@ -129,8 +129,8 @@
         }
     }
 
-    pub(super) fn reply(&mut self, node: usize, ask: u64) -> Option<Reply> {
-        self.nodes[node].replies.get(&ask).cloned()
+    pub(super) fn reply(&mut self, node: usize, call_id: u64) -> Option<Reply> {
+        self.nodes[node].replies.get(&call_id).cloned()
     }
 
     /// The roster's part: once every member has settled, older epochs are forgotten.
--- a/crates/proof/tests/claims/calls.rs
+++ b/crates/proof/tests/claims/calls.rs
@@ -1,4 +1,4 @@
-//! What callers ask, and what becomes of it.
+//! What callers call_id, and what becomes of it.
 
 use super::*;
 
@@ -28,7 +28,7 @@
             attempt,
         };
         let question = ClaimRequest {
-            ask: 0,
+            call_id: 0,
             key,
             body: 7,
             asker: asker.clone(),
@@ -48,14 +48,17 @@
             return;
         }
         let node = &mut self.nodes[to];
-        let ask = node.next_ask;
+        let call_id = node.next_ask;
         node.next_ask += 1;
         let event = match asked {
             Asked::Claim(question) => {
                 let asker = question.asker.clone();
                 let reply = Reply::Verdict(from, asker.incarnation, question.key, asker);
-                node.replies.insert(ask, reply);
-                ClaimEvent::Request(ClaimRequest { ask, ..question })
+                node.replies.insert(call_id, reply);
+                ClaimEvent::Request(ClaimRequest {
+                    call_id,
+                    ..question
+                })
             }
             Asked::Event(event) => event,
         };
