--- a/crates/claims/src/event.rs
+++ b/crates/claims/src/event.rs
@@ -5,7 +5,7 @@
 use bergamot_roster::RosterRecord;
 use bergamot_types::prelude::*;
 
-use crate::record::{ClaimAsker, ClaimKey, ClaimRecord, ClaimSerial, KeptAnswer, Verdict};
+use crate::record::{ClaimKey, ClaimRecord, ClaimSerial, Claimant, KeptAnswer, Verdict};
 
 /// Something the claims have to know of.
 #[derive(Clone, Debug)]
@@ -16,12 +16,12 @@
     Roster(RosterRecord),
     /// An entry VM asks for a claim.
     Request(ClaimRequest),
-    /// The asker tells what became of the request. None says that it truly did not run.
+    /// The claimant tells what became of the request. None says that it truly did not run.
     Finish {
         /// The key.
         key: ClaimKey,
         /// Who was granted it.
-        asker: ClaimAsker,
+        claimant: Claimant,
         /// What became of it.
         outcome: FinishOutcome,
     },
@@ -95,8 +95,8 @@
     /// Hash of the request.
     pub body: u64,
     /// Who would run it.
-    pub asker: ClaimAsker,
-    /// The asker's roster epoch.
+    pub claimant: Claimant,
+    /// The claimant's roster epoch.
     pub epoch: u64,
     /// How long the request may run.
     pub grant: Millis,
@@ -121,7 +121,7 @@
     }
 }
 
-/// What an asker says became of its request.
+/// What an claimant says became of its request.
 #[derive(Clone, PartialEq, Eq, Debug, serde::Serialize, serde::Deserialize)]
 pub enum FinishOutcome {
     /// It ran and was answered.
--- a/crates/claims/src/record.rs
+++ b/crates/claims/src/record.rs
@@ -37,7 +37,7 @@
 ///
 /// The attempt keeps a late word on an earlier one from ending a later one.
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Serialize, Deserialize)]
-pub struct ClaimAsker {
+pub struct Claimant {
     /// The entry VM.
     pub entry: EntryId,
     /// Which run of its daemon.
@@ -78,7 +78,7 @@
     /// Hash of the request it was first used with.
     pub body: u64,
     /// Who may run it.
-    pub asker: ClaimAsker,
+    pub claimant: Claimant,
     /// What became of it.
     pub phase: ClaimPhase,
     /// Milliseconds left until a grant counts as lost, as of when the record was sent.
--- a/crates/claims/src/state.rs
+++ b/crates/claims/src/state.rs
@@ -8,7 +8,7 @@
 use indexmap::{IndexMap, IndexSet};
 
 use crate::event::{ClaimAction, ClaimEvent};
-use crate::record::{ClaimAsker, ClaimKey, ClaimPhase, ClaimRecord, ClaimSerial, Verdict};
+use crate::record::{ClaimKey, ClaimPhase, ClaimRecord, ClaimSerial, Claimant, Verdict};
 use crate::takeover::{HolderHistory, SlotPhase, begin};
 use std::sync::Arc;
 
@@ -40,7 +40,7 @@
 struct StoredClaim {
     serial: ClaimSerial,
     body: u64,
-    asker: ClaimAsker,
+    claimant: Claimant,
     phase: ClaimPhase,
     lost_at: Millis,
     forget_at: Millis,
@@ -130,9 +130,9 @@
             ClaimEvent::Request(question) => self.take_ask(now, question),
             ClaimEvent::Finish {
                 key,
-                asker,
+                claimant,
                 outcome,
-            } => self.take_finish(now, key, &asker, outcome),
+            } => self.take_finish(now, key, &claimant, outcome),
             ClaimEvent::Copy {
                 call_id,
                 epoch,
@@ -230,11 +230,11 @@
         }
     }
 
-    /// A claim whose asker is gone can no longer be answered.
+    /// A claim whose claimant is gone can no longer be answered.
     fn lose_orphans(&mut self) {
         let roster = &self.roster;
         for claim in self.claims.values_mut() {
-            let is_there = roster.holds(&claim.asker.entry, claim.asker.incarnation);
+            let is_there = roster.holds(&claim.claimant.entry, claim.claimant.incarnation);
             if claim.phase == ClaimPhase::Granted && !is_there {
                 claim.phase = ClaimPhase::Lost;
             }
@@ -364,7 +364,7 @@
         key,
         serial: claim.serial,
         body: claim.body,
-        asker: claim.asker.clone(),
+        claimant: claim.claimant.clone(),
         phase: claim.phase.clone(),
         grant_left: claim.lost_at.since(now),
         keep_left: claim.forget_at.since(now),
--- a/crates/claims/src/state/copies.rs
+++ b/crates/claims/src/state/copies.rs
@@ -133,7 +133,7 @@
         let stored = StoredClaim {
             serial: record.serial,
             body: record.body,
-            asker: record.asker,
+            claimant: record.claimant,
             phase: record.phase,
             lost_at: now + record.grant_left,
             forget_at: now + record.keep_left,
--- a/crates/claims/src/state/grants.rs
+++ b/crates/claims/src/state/grants.rs
@@ -5,7 +5,7 @@
 
 use super::{ClaimState, PendingGrant, StoredClaim, export, known_verdict};
 use crate::event::{ClaimAction, ClaimRequest, CopyChange, FinishOutcome};
-use crate::record::{ClaimAsker, ClaimKey, ClaimPhase, ClaimSerial, Verdict};
+use crate::record::{ClaimKey, ClaimPhase, ClaimSerial, Claimant, Verdict};
 use crate::takeover::{SlotPhase, co_holders};
 
 impl ClaimState {
@@ -14,12 +14,12 @@
             call_id,
             key,
             body,
-            asker,
+            claimant,
             epoch,
             grant,
         } = question;
         let verdict = |verdict| vec![ClaimAction::Verdict { call_id, verdict }];
-        if epoch != self.roster.epoch || !self.roster.holds(&asker.entry, asker.incarnation) {
+        if epoch != self.roster.epoch || !self.roster.holds(&claimant.entry, claimant.incarnation) {
             return verdict(Verdict::Unavailable);
         }
         match &self.slots[usize::from(key.slot())] {
@@ -45,7 +45,7 @@
         let stored = StoredClaim {
             serial,
             body,
-            asker,
+            claimant,
             phase: ClaimPhase::Granted,
             lost_at: now + grant,
             forget_at: now + grant + self.options.keep,
@@ -167,13 +167,13 @@
         &mut self,
         now: Millis,
         key: ClaimKey,
-        asker: &ClaimAsker,
+        claimant: &Claimant,
         outcome: FinishOutcome,
     ) -> Vec<ClaimAction> {
         let Some(claim) = self.claims.get_mut(&key) else {
             return Vec::new();
         };
-        let is_open = claim.asker == *asker && !matches!(claim.phase, ClaimPhase::Done(_));
+        let is_open = claim.claimant == *claimant && !matches!(claim.phase, ClaimPhase::Done(_));
         if !is_open {
             return Vec::new();
         }
@@ -194,7 +194,7 @@
         actions
     }
 
-    /// A grant that still waits for its copy is of no use to an asker that has given up.
+    /// A grant that still waits for its copy is of no use to an claimant that has given up.
     pub(super) fn give_up_pending(&mut self, serial: ClaimSerial) -> Vec<ClaimAction> {
         let mut waiting = self.pending.iter();
         let waiting = waiting.find(|(_, grant)| grant.serial == serial);
--- a/crates/entry/src/duty/claims.rs
+++ b/crates/entry/src/duty/claims.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bergamot_claims::{
-    ClaimAction, ClaimAsker, ClaimEvent, ClaimKey, ClaimRequest, ClaimState, FinishOutcome, Verdict,
+    ClaimAction, ClaimEvent, ClaimKey, ClaimRequest, ClaimState, Claimant, FinishOutcome, Verdict,
 };
 use bergamot_peer::{Answer, Question};
 use bergamot_types::prelude::*;
@@ -37,7 +37,7 @@
 struct EndedRequest {
     at: Millis,
     key: ClaimKey,
-    asker: ClaimAsker,
+    claimant: Claimant,
     outcome: FinishOutcome,
 }
 
@@ -85,8 +85,8 @@
 }
 
 impl ClaimsDuty {
-    fn asker(&self, attempt: u64) -> ClaimAsker {
-        ClaimAsker {
+    fn claimant(&self, attempt: u64) -> Claimant {
+        Claimant {
             entry: self.shared.settings.entry.clone(),
             incarnation: self.shared.incarnation,
             attempt,
@@ -148,12 +148,12 @@
             return;
         };
         let owner = owner.clone();
-        let asker = self.asker(attempt);
+        let claimant = self.claimant(attempt);
         let mut question = ClaimRequest {
             call_id: 0,
             key,
             body,
-            asker,
+            claimant,
             epoch,
             grant,
         };
@@ -187,27 +187,27 @@
         let again: Vec<_> = self
             .ended
             .iter()
-            .map(|ended| (ended.key, ended.asker.clone(), ended.outcome.clone()))
+            .map(|ended| (ended.key, ended.claimant.clone(), ended.outcome.clone()))
             .collect();
-        for (key, asker, outcome) in again {
+        for (key, claimant, outcome) in again {
             let note = self.shared.claim_note();
-            self.tell(key, asker, outcome, note);
+            self.tell(key, claimant, outcome, note);
         }
     }
 
     fn finish(&mut self, key: ClaimKey, attempt: u64, outcome: FinishOutcome, note: ClaimNote) {
-        let asker = self.asker(attempt);
+        let claimant = self.claimant(attempt);
         // The owner may be lost before it has passed this on; its successor is told again.
         self.ended.push_back(EndedRequest {
             at: self.shared.clock.now(),
             key,
-            asker: asker.clone(),
+            claimant: claimant.clone(),
             outcome: outcome.clone(),
         });
-        self.tell(key, asker, outcome, note);
+        self.tell(key, claimant, outcome, note);
     }
 
-    fn tell(&mut self, key: ClaimKey, asker: ClaimAsker, outcome: FinishOutcome, note: ClaimNote) {
+    fn tell(&mut self, key: ClaimKey, claimant: Claimant, outcome: FinishOutcome, note: ClaimNote) {
         let Some((owner, _)) = self.state.owner(key) else {
             return;
         };
@@ -215,7 +215,7 @@
         if owner == self.shared.settings.entry {
             self.feed(ClaimEvent::Finish {
                 key,
-                asker,
+                claimant,
                 outcome,
             });
             return;
@@ -224,7 +224,7 @@
         tokio::spawn(async move {
             let question = Question::Finish {
                 key,
-                asker,
+                claimant,
                 outcome,
             };
             tell_owner(&shared, &owner, question).await;
@@ -246,13 +246,13 @@
             }
             Question::Finish {
                 key,
-                asker,
+                claimant,
                 outcome,
             } => {
                 let _ = reply.send(Answer::Noted);
                 self.feed(ClaimEvent::Finish {
                     key,
-                    asker,
+                    claimant,
                     outcome,
                 });
             }
--- a/crates/entry/src/duty/claims/owner.rs
+++ b/crates/entry/src/duty/claims/owner.rs
@@ -17,14 +17,14 @@
     let Some(addr) = shared.peer_addr(owner) else {
         return Verdict::Unavailable;
     };
-    let (key, asker) = (question.key, question.asker.clone());
+    let (key, claimant) = (question.key, question.claimant.clone());
     match shared.ask_peer(addr, Question::Claim(question)).await {
         Some(Answer::Claim(verdict)) => verdict,
         _ => {
             // The claim may have been granted all the same. It will not be used: say so.
             let undo = Question::Finish {
                 key,
-                asker,
+                claimant,
                 outcome: FinishOutcome::NotRun,
             };
             tokio::spawn({
--- a/crates/load/src/capacity/decisions.rs
+++ b/crates/load/src/capacity/decisions.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use bergamot_bundle::{KeyRing, RollKeeper, RollRecord, SignedBundle, SignerKey};
-use bergamot_claims::{ClaimAsker, ClaimEvent, ClaimKey, ClaimOptions, ClaimRequest, ClaimState};
+use bergamot_claims::{ClaimEvent, ClaimKey, ClaimOptions, ClaimRequest, ClaimState, Claimant};
 use bergamot_entry::control::ControlEvent;
 use bergamot_placement::{
     DomainRecord, EnginePhase, EngineReport, PlacementAction, PlacementEvent, PlacementOptions,
@@ -267,7 +267,7 @@
             call_id: number as u64,
             key: ClaimKey::of(&ClientAccount::new("a"), &number.to_string()),
             body: 1,
-            asker: ClaimAsker {
+            claimant: Claimant {
                 entry: me.clone(),
                 incarnation: 1,
                 attempt: number as u64,
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -2,7 +2,7 @@
 
 use bergamot_bundle::{RollRecord, SignedBundle};
 use bergamot_claims::{
-    ClaimAsker, ClaimKey, ClaimRecord, ClaimRequest, CopyChange, FinishOutcome, Verdict,
+    ClaimKey, ClaimRecord, ClaimRequest, Claimant, CopyChange, FinishOutcome, Verdict,
 };
 use bergamot_quarantine::QuarantineRecord;
 use bergamot_roster::RosterRecord;
@@ -19,7 +19,7 @@
         /// The key.
         key: ClaimKey,
         /// Who was granted it.
-        asker: ClaimAsker,
+        claimant: Claimant,
         /// What became of it.
         outcome: FinishOutcome,
     },
--- a/crates/proof/tests/claims/actions.rs
+++ b/crates/proof/tests/claims/actions.rs
@@ -41,8 +41,8 @@
         let incarnation = self.nodes[node].incarnation;
         match action {
             ClaimAction::Verdict { call_id, verdict } => {
-                if let Some(Reply::Verdict(to, inc, key, asker)) = self.reply(node, call_id) {
-                    let message = Message::Verdict(to, inc, key, asker, verdict);
+                if let Some(Reply::Verdict(to, inc, key, claimant)) = self.reply(node, call_id) {
+                    let message = Message::Verdict(to, inc, key, claimant, verdict);
                     self.send(node, to, message);
                 }
             }
--- a/crates/proof/tests/claims/calls.rs
+++ b/crates/proof/tests/claims/calls.rs
@@ -22,7 +22,7 @@
         let incarnation = self.nodes[node].incarnation;
         let attempt = self.nodes[node].next_attempt;
         self.nodes[node].next_attempt += 1;
-        let asker = ClaimAsker {
+        let claimant = Claimant {
             entry: entry(node),
             incarnation,
             attempt,
@@ -31,15 +31,15 @@
             call_id: 0,
             key,
             body: 7,
-            asker: asker.clone(),
+            claimant: claimant.clone(),
             epoch,
             grant: GRANT,
         };
         let target = self.nodes[owner].incarnation;
         let message = Message::Ask(node, owner, target, Asked::Claim(question));
         self.send(node, owner, message);
-        // The asker gives up after a while: nothing runs, and the owner is told so.
-        let late = Message::Verdict(node, incarnation, key, asker, Verdict::Unavailable);
+        // The claimant gives up after a while: nothing runs, and the owner is told so.
+        let late = Message::Verdict(node, incarnation, key, claimant, Verdict::Unavailable);
         self.wire.at(self.now + Millis(700), late);
     }
 
@@ -52,8 +52,8 @@
         node.next_ask += 1;
         let event = match asked {
             Asked::Claim(question) => {
-                let asker = question.asker.clone();
-                let reply = Reply::Verdict(from, asker.incarnation, question.key, asker);
+                let claimant = question.claimant.clone();
+                let reply = Reply::Verdict(from, claimant.incarnation, question.key, claimant);
                 node.replies.insert(call_id, reply);
                 ClaimEvent::Request(ClaimRequest {
                     call_id,
@@ -70,14 +70,14 @@
         node: usize,
         incarnation: u64,
         key: ClaimKey,
-        asker: ClaimAsker,
+        claimant: Claimant,
         verdict: &Verdict,
     ) {
         if !self.is_live(node, incarnation) {
             return;
         }
         // Only the first word on an attempt counts.
-        let done = self.nodes[node].replies.entry(u64::MAX - asker.attempt);
+        let done = self.nodes[node].replies.entry(u64::MAX - claimant.attempt);
         let indexmap::map::Entry::Vacant(vacant) = done else {
             return;
         };
@@ -85,7 +85,7 @@
         match verdict {
             Verdict::Granted => {
                 self.granted += 1;
-                self.execute(node, incarnation, key, asker);
+                self.execute(node, incarnation, key, claimant);
             }
             Verdict::Kept(_) => {
                 self.kept += 1;
@@ -95,7 +95,7 @@
             }
             Verdict::Unavailable => {
                 self.unavailable += 1;
-                self.finish(node, key, asker, FinishOutcome::NotRun);
+                self.finish(node, key, claimant, FinishOutcome::NotRun);
             }
             _ => {}
         }
@@ -106,11 +106,11 @@
         node: usize,
         incarnation: u64,
         key: ClaimKey,
-        asker: ClaimAsker,
+        claimant: Claimant,
     ) {
         if self.random.random_bool(0.1) {
             // The upstream says that it did not run it.
-            self.finish(node, key, asker, FinishOutcome::NotRun);
+            self.finish(node, key, claimant, FinishOutcome::NotRun);
             return;
         }
         let started = self.started.entry(key).or_default();
@@ -119,7 +119,7 @@
             self.failure = Some(format!("{key:?} ran {started} times, at {}", self.now));
         }
         let takes = self.random.random_range(10..1_500);
-        let ends = Message::RunEnds(node, incarnation, key, asker);
+        let ends = Message::RunEnds(node, incarnation, key, claimant);
         self.wire.at(self.now + Millis(takes), ends);
     }
 
@@ -127,7 +127,7 @@
         &mut self,
         node: usize,
         key: ClaimKey,
-        asker: ClaimAsker,
+        claimant: Claimant,
         outcome: FinishOutcome,
     ) {
         let Some((owner, _)) = self.nodes[node].state.owner(key) else {
@@ -137,7 +137,7 @@
         let incarnation = self.nodes[owner].incarnation;
         let event = ClaimEvent::Finish {
             key,
-            asker,
+            claimant,
             outcome,
         };
         // Told more than once, as its answer may be lost.
--- a/crates/proof/tests/claims/main.rs
+++ b/crates/proof/tests/claims/main.rs
@@ -8,7 +8,7 @@
 mod trouble;
 
 use bergamot_claims::{
-    ClaimAction, ClaimAsker, ClaimEvent, ClaimKey, ClaimOptions, ClaimRequest, ClaimState,
+    ClaimAction, ClaimEvent, ClaimKey, ClaimOptions, ClaimRequest, ClaimState, Claimant,
     FinishOutcome, KeptAnswer, Verdict,
 };
 use bergamot_roster::{Member, RosterRecord};
@@ -33,10 +33,10 @@
     /// A question of `from`, whose answer goes back.
     Ask(usize, usize, u64, Asked),
     /// Verdict for an attempt.
-    Verdict(usize, u64, ClaimKey, ClaimAsker, Verdict),
+    Verdict(usize, u64, ClaimKey, Claimant, Verdict),
     Tick(usize, u64),
     /// The request of a granted claim ends.
-    RunEnds(usize, u64, ClaimKey, ClaimAsker),
+    RunEnds(usize, u64, ClaimKey, Claimant),
     Caller,
     Chaos,
     /// The platform notices that a node's old run is gone.
@@ -63,7 +63,7 @@
 
 #[derive(Clone)]
 enum Reply {
-    Verdict(usize, u64, ClaimKey, ClaimAsker),
+    Verdict(usize, u64, ClaimKey, Claimant),
     Copy(usize, u64, u64),
     Replica(usize, u64, u64, Vec<u16>),
     Collect(usize, u64, u64, Vec<u16>),
@@ -217,8 +217,8 @@
             Message::Ask(from, to, incarnation, asked) => {
                 self.take_ask(from, to, incarnation, asked);
             }
-            Message::Verdict(node, incarnation, key, asker, verdict) => {
-                self.take_verdict(node, incarnation, key, asker, &verdict);
+            Message::Verdict(node, incarnation, key, claimant, verdict) => {
+                self.take_verdict(node, incarnation, key, claimant, &verdict);
             }
             Message::Tick(node, incarnation) => {
                 if self.is_live(node, incarnation) {
@@ -227,14 +227,14 @@
                         .at(self.now + Millis(100), Message::Tick(node, incarnation));
                 }
             }
-            Message::RunEnds(node, incarnation, key, asker) => {
+            Message::RunEnds(node, incarnation, key, claimant) => {
                 if self.is_live(node, incarnation) {
                     let answer = Arc::new(KeptAnswer {
                         status: 200,
                         content_type: String::new(),
                         body: None,
                     });
-                    self.finish(node, key, asker, FinishOutcome::Answered(answer));
+                    self.finish(node, key, claimant, FinishOutcome::Answered(answer));
                 }
             }
             Message::Caller => self.call(),
