--- a/crates/claims/src/event.rs
+++ b/crates/claims/src/event.rs
@@ -5,7 +5,7 @@
 use bergamot_roster::RosterRecord;
 use bergamot_types::prelude::*;
 
-use crate::record::{ClaimKey, ClaimRecord, ClaimSerial, Claimant, KeptAnswer, Verdict};
+use crate::record::{ClaimKey, ClaimRecord, ClaimSerial, Claimant, StoredAnswer, Verdict};
 
 /// Something the claims have to know of.
 #[derive(Clone, Debug)]
@@ -125,7 +125,7 @@
 #[derive(Clone, PartialEq, Eq, Debug, serde::Serialize, serde::Deserialize)]
 pub enum FinishOutcome {
     /// It ran and was answered.
-    Answered(Arc<KeptAnswer>),
+    Answered(Arc<StoredAnswer>),
     /// It was never sent, or the upstream said that it did not run it.
     NotRun,
     /// It was sent and nothing more is known.
--- a/crates/claims/src/lib.rs
+++ b/crates/claims/src/lib.rs
@@ -15,6 +15,6 @@
 pub mod takeover;
 
 pub use event::{ClaimAction, ClaimEvent, ClaimRequest, CopyChange, FinishOutcome};
-pub use record::{ClaimKey, ClaimPhase, ClaimRecord, ClaimSerial, Claimant, KeptAnswer, Verdict};
+pub use record::{ClaimKey, ClaimPhase, ClaimRecord, ClaimSerial, Claimant, StoredAnswer, Verdict};
 pub use state::{ClaimOptions, ClaimState};
 pub use takeover::SlotPhase;
--- a/crates/claims/src/record.rs
+++ b/crates/claims/src/record.rs
@@ -48,7 +48,7 @@
 
 /// The first answer, kept for repeats.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
-pub struct KeptAnswer {
+pub struct StoredAnswer {
     /// HTTP status.
     pub status: u16,
     /// Content type.
@@ -63,7 +63,7 @@
     /// It may be running.
     Granted,
     /// It ran, and this is the answer.
-    Done(Arc<KeptAnswer>),
+    Done(Arc<StoredAnswer>),
     /// It may have run; nobody knows.
     Lost,
 }
@@ -93,7 +93,7 @@
     /// Run it, now and once.
     Granted,
     /// It ran; this is the first answer.
-    Kept(Arc<KeptAnswer>),
+    Replay(Arc<StoredAnswer>),
     /// The first is still running.
     InProgress,
     /// The key was used with another request.
@@ -110,7 +110,7 @@
     /// The error a caller gets; none for a grant or a kept answer.
     pub fn error(&self) -> Option<ErrorKind> {
         match self {
-            Self::Granted | Self::Kept(_) => None,
+            Self::Granted | Self::Replay(_) => None,
             Self::InProgress => Some(ErrorKind::KeyInProgress),
             Self::KeyReused => Some(ErrorKind::KeyReused),
             Self::OutcomeUnknown => Some(ErrorKind::KeyOutcomeUnknown),
--- a/crates/claims/src/state.rs
+++ b/crates/claims/src/state.rs
@@ -353,7 +353,7 @@
         return Verdict::KeyReused;
     }
     match &claim.phase {
-        ClaimPhase::Done(answer) => Verdict::Kept(Arc::clone(answer)),
+        ClaimPhase::Done(answer) => Verdict::Replay(Arc::clone(answer)),
         ClaimPhase::Granted if claim.lost_at > now => Verdict::InProgress,
         ClaimPhase::Granted | ClaimPhase::Lost => Verdict::OutcomeUnknown,
     }
--- a/crates/entry/src/front/claimed.rs
+++ b/crates/entry/src/front/claimed.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use bergamot_claims::{ClaimKey, FinishOutcome, KeptAnswer, Verdict};
+use bergamot_claims::{ClaimKey, FinishOutcome, StoredAnswer, Verdict};
 use bergamot_types::prelude::*;
 use bytes::Bytes;
 use hyper::StatusCode;
@@ -41,7 +41,7 @@
     pub fn answered(self, status: StatusCode, content_type: &str, body: Option<&[u8]>) {
         let most = self.front.shared.settings.tuning.max_kept_bytes;
         let body = body.filter(|body| body.len() <= most);
-        let answer = KeptAnswer {
+        let answer = StoredAnswer {
             status: status.as_u16(),
             content_type: content_type.to_owned(),
             body: body.map(<[u8]>::to_vec),
@@ -106,7 +106,7 @@
     if let Some(kind) = verdict.error() {
         return Err(kind.into());
     }
-    let Verdict::Kept(kept) = verdict else {
+    let Verdict::Replay(kept) = verdict else {
         return Ok(ClaimOutcome::Granted(GrantedClaim {
             front: Arc::clone(front),
             key,
@@ -174,7 +174,7 @@
     hash_bytes(&bytes)
 }
 
-fn replay(kept: &KeptAnswer, id: &RequestId) -> CallerAnswer {
+fn replay(kept: &StoredAnswer, id: &RequestId) -> CallerAnswer {
     let status = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::OK);
     let body = match &kept.body {
         Some(body) => Bytes::from(body.clone()),
@@ -190,7 +190,7 @@
 fn verdict_name(verdict: &Verdict) -> &'static str {
     match verdict {
         Verdict::Granted => "granted",
-        Verdict::Kept(_) => "kept",
+        Verdict::Replay(_) => "kept",
         Verdict::InProgress => "in_progress",
         Verdict::KeyReused => "key_reused",
         Verdict::OutcomeUnknown => "outcome_unknown",
--- a/crates/proof/tests/claims/calls.rs
+++ b/crates/proof/tests/claims/calls.rs
@@ -87,7 +87,7 @@
                 self.granted += 1;
                 self.execute(node, incarnation, key, claimant);
             }
-            Verdict::Kept(_) => {
+            Verdict::Replay(_) => {
                 self.kept += 1;
                 if self.started.get(&key).is_none() {
                     self.failure = Some(format!("kept answer of {key:?}, which never ran"));
--- a/crates/proof/tests/claims/main.rs
+++ b/crates/proof/tests/claims/main.rs
@@ -9,7 +9,7 @@
 
 use bergamot_claims::{
     ClaimAction, ClaimEvent, ClaimKey, ClaimOptions, ClaimRequest, ClaimState, Claimant,
-    FinishOutcome, KeptAnswer, Verdict,
+    FinishOutcome, StoredAnswer, Verdict,
 };
 use bergamot_roster::{Member, RosterRecord};
 use bergamot_types::mutate::Mutation;
@@ -229,7 +229,7 @@
             }
             Message::RunEnds(node, incarnation, key, claimant) => {
                 if self.is_live(node, incarnation) {
-                    let answer = Arc::new(KeptAnswer {
+                    let answer = Arc::new(StoredAnswer {
                         status: 200,
                         content_type: String::new(),
                         body: None,
