--- a/crates/claims/src/event.rs
+++ b/crates/claims/src/event.rs
@@ -93,7 +93,7 @@
     /// The key.
     pub key: ClaimKey,
     /// Hash of the request.
-    pub body: u64,
+    pub fingerprint: u64,
     /// Who would run it.
     pub claimant: Claimant,
     /// The claimant's roster epoch.
--- a/crates/claims/src/record.rs
+++ b/crates/claims/src/record.rs
@@ -76,7 +76,7 @@
     /// Orders the claims that were ever granted on one key.
     pub serial: ClaimSerial,
     /// Hash of the request it was first used with.
-    pub body: u64,
+    pub fingerprint: u64,
     /// Who may run it.
     pub claimant: Claimant,
     /// What became of it.
--- a/crates/claims/src/state.rs
+++ b/crates/claims/src/state.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug)]
 struct StoredClaim {
     serial: ClaimSerial,
-    body: u64,
+    fingerprint: u64,
     claimant: Claimant,
     phase: ClaimPhase,
     lost_at: Millis,
@@ -348,8 +348,8 @@
     matches!(phase, SlotPhase::Ready | SlotPhase::Replicating(_))
 }
 
-fn known_verdict(claim: &StoredClaim, body: u64, now: Millis) -> Verdict {
-    if claim.body != body {
+fn known_verdict(claim: &StoredClaim, fingerprint: u64, now: Millis) -> Verdict {
+    if claim.fingerprint != fingerprint {
         return Verdict::KeyReused;
     }
     match &claim.phase {
@@ -363,7 +363,7 @@
     ClaimRecord {
         key,
         serial: claim.serial,
-        body: claim.body,
+        fingerprint: claim.fingerprint,
         claimant: claim.claimant.clone(),
         phase: claim.phase.clone(),
         grant_left: claim.lost_at.since(now),
--- a/crates/claims/src/state/copies.rs
+++ b/crates/claims/src/state/copies.rs
@@ -132,7 +132,7 @@
     pub(super) fn import(&mut self, now: Millis, record: ClaimRecord) {
         let stored = StoredClaim {
             serial: record.serial,
-            body: record.body,
+            fingerprint: record.fingerprint,
             claimant: record.claimant,
             phase: record.phase,
             lost_at: now + record.grant_left,
--- a/crates/claims/src/state/grants.rs
+++ b/crates/claims/src/state/grants.rs
@@ -13,7 +13,7 @@
         let ClaimRequest {
             call_id,
             key,
-            body,
+            fingerprint,
             claimant,
             epoch,
             grant,
@@ -29,7 +29,7 @@
             SlotPhase::Replicating(_) | SlotPhase::Ready | SlotPhase::Forgetful(_) => {}
         }
         if let Some(claim) = self.claims.get(&key) {
-            return verdict(known_verdict(claim, body, now));
+            return verdict(known_verdict(claim, fingerprint, now));
         }
         if let SlotPhase::Forgetful(until) = &self.slots[usize::from(key.slot())]
             && *until > now
@@ -44,7 +44,7 @@
         let serial = ClaimSerial { epoch, count: op };
         let stored = StoredClaim {
             serial,
-            body,
+            fingerprint,
             claimant,
             phase: ClaimPhase::Granted,
             lost_at: now + grant,
--- a/crates/entry/src/duty/claims.rs
+++ b/crates/entry/src/duty/claims.rs
@@ -137,7 +137,7 @@
     fn ask(
         &mut self,
         key: ClaimKey,
-        body: u64,
+        fingerprint: u64,
         grant: Millis,
         reply: oneshot::Sender<(u64, Verdict)>,
     ) {
@@ -152,7 +152,7 @@
         let mut question = ClaimRequest {
             call_id: 0,
             key,
-            body,
+            fingerprint,
             claimant,
             epoch,
             grant,
--- a/crates/load/src/capacity/decisions.rs
+++ b/crates/load/src/capacity/decisions.rs
@@ -266,7 +266,7 @@
         let request = ClaimRequest {
             call_id: number as u64,
             key: ClaimKey::of(&ClientAccount::new("a"), &number.to_string()),
-            body: 1,
+            fingerprint: 1,
             claimant: Claimant {
                 entry: me.clone(),
                 incarnation: 1,
--- a/crates/proof/tests/claims/calls.rs
+++ b/crates/proof/tests/claims/calls.rs
@@ -30,7 +30,7 @@
         let question = ClaimRequest {
             call_id: 0,
             key,
-            body: 7,
+            fingerprint: 7,
             claimant: claimant.clone(),
             epoch,
             grant: GRANT,
