--- a/crates/claims/src/record.rs
+++ b/crates/claims/src/record.rs
@@ -84,7 +84,7 @@
     /// Milliseconds left until a grant counts as lost, as of when the record was sent.
     pub grant_left: Millis,
     /// Milliseconds left until it is forgotten, as of when the record was sent.
-    pub keep_left: Millis,
+    pub retention_left: Millis,
 }
 
 /// The owner's word on a request with a key.
--- a/crates/claims/src/state.rs
+++ b/crates/claims/src/state.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug)]
 pub struct ClaimOptions {
     /// How long an answer is kept for repeats.
-    pub keep: Millis,
+    pub retention: Millis,
     /// How long the other holder has to answer.
     pub copy_timeout: Millis,
     /// Time between two questions to a holder that has not answered.
@@ -28,7 +28,7 @@
 impl Default for ClaimOptions {
     fn default() -> Self {
         Self {
-            keep: Millis::from_secs(600),
+            retention: Millis::from_secs(600),
             copy_timeout: Millis(500),
             collect_retry: Millis(1_000),
             max_claims: 200_000,
@@ -218,7 +218,7 @@
         slot: u16,
         old: SlotPhase,
     ) -> SlotPhase {
-        let forget_until = now + self.options.keep;
+        let forget_until = now + self.options.retention;
         match (
             old,
             begin(&self.roster, history, &self.me, slot, forget_until),
@@ -367,7 +367,7 @@
         claimant: claim.claimant.clone(),
         phase: claim.phase.clone(),
         grant_left: claim.lost_at.since(now),
-        keep_left: claim.forget_at.since(now),
+        retention_left: claim.forget_at.since(now),
     }
 }
 
--- a/crates/claims/src/state/copies.rs
+++ b/crates/claims/src/state/copies.rs
@@ -136,7 +136,7 @@
             claimant: record.claimant,
             phase: record.phase,
             lost_at: now + record.grant_left,
-            forget_at: now + record.keep_left,
+            forget_at: now + record.retention_left,
         };
         match self.claims.entry(record.key) {
             indexmap::map::Entry::Vacant(vacant) => {
--- a/crates/claims/src/state/grants.rs
+++ b/crates/claims/src/state/grants.rs
@@ -48,7 +48,7 @@
             claimant,
             phase: ClaimPhase::Granted,
             lost_at: now + grant,
-            forget_at: now + grant + self.options.keep,
+            forget_at: now + grant + self.options.retention,
         };
         self.claims.insert(key, stored);
         let mut untried: Vec<EntryId> = co_holders(&self.map, &self.me, key.slot())
@@ -181,7 +181,7 @@
         match outcome {
             FinishOutcome::Answered(answer) => {
                 claim.phase = ClaimPhase::Done(answer);
-                claim.forget_at = now + self.options.keep;
+                claim.forget_at = now + self.options.retention;
             }
             FinishOutcome::Unknown => claim.phase = ClaimPhase::Lost,
             FinishOutcome::NotRun => {
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -371,7 +371,7 @@
 fn claim_state(shared: &SharedState) -> ClaimState {
     let tuning = &shared.settings.tuning;
     let options = ClaimOptions {
-        keep: tuning.keep_answers,
+        retention: tuning.keep_answers,
         copy_timeout: Millis(tuning.peer_timeout.0 + 100),
         ..ClaimOptions::default()
     };
--- a/crates/proof/tests/claims/main.rs
+++ b/crates/proof/tests/claims/main.rs
@@ -105,7 +105,7 @@
 
 fn options() -> ClaimOptions {
     ClaimOptions {
-        keep: Millis(60_000),
+        retention: Millis(60_000),
         copy_timeout: Millis(300),
         collect_retry: Millis(400),
         max_claims: 10_000,
