--- a/crates/claims/src/event.rs
+++ b/crates/claims/src/event.rs
@@ -1,4 +1,4 @@
-//! What claims have to know of and what they want done.
+//! Inputs and outputs of [`ClaimState`](crate::ClaimState).
 
 use std::sync::Arc;
 
@@ -7,94 +7,95 @@
 
 use crate::record::{ClaimKey, ClaimRecord, ClaimSerial, Claimant, StoredAnswer, Verdict};
 
-/// Something the claims have to know of.
+/// An input of [`ClaimState`](crate::ClaimState).
 #[derive(Clone, Debug)]
 pub enum ClaimEvent {
-    /// Time passed.
+    /// Time has passed.
     Tick,
     /// The roster changed.
     Roster(RosterRecord),
-    /// An entry VM asks for a claim.
+    /// An entry VM requests a claim.
     Request(ClaimRequest),
-    /// The claimant tells what became of the request. None says that it truly did not run.
+    /// The claimant reports the outcome of its request. Without a report, the request counts as
+    /// possibly run.
     Finish {
-        /// The key.
+        /// The claimed key.
         key: ClaimKey,
-        /// Who was granted it.
+        /// The claimant that was granted the key.
         claimant: Claimant,
-        /// What became of it.
+        /// The outcome of the request.
         outcome: FinishOutcome,
     },
-    /// An owner asks to hold a copy.
+    /// An owner asks this VM to store or drop a copy of a claim.
     Copy {
-        /// Names the question, for the answer.
+        /// Matches the answer to this event.
         call_id: u64,
-        /// The owner's epoch.
+        /// The owner's roster epoch.
         epoch: u64,
-        /// The owner.
+        /// The owner of the claim's slot.
         owner: EntryId,
-        /// What to hold or drop.
+        /// The copy to store or drop.
         change: CopyChange,
     },
-    /// A holder answered a copy.
+    /// A holder answered a [`ClaimAction::SendCopy`].
     Copied {
-        /// The operation.
+        /// The operation that the holder answered.
         op: u64,
         /// The holder.
         holder: EntryId,
-        /// Whether it holds the copy now.
+        /// Whether the holder has the copy.
         is_held: bool,
     },
-    /// A new owner gives copies of what it collected.
+    /// A new owner sends copies of the claims it collected.
     Replica {
-        /// Names the question, for the answer.
+        /// Matches the answer to this event.
         call_id: u64,
-        /// The owner's epoch.
+        /// The owner's roster epoch.
         epoch: u64,
-        /// The claims.
+        /// The collected claims.
         records: Vec<ClaimRecord>,
     },
-    /// A holder took the copies of some slots.
+    /// A holder stored the copies of some slots.
     Replicated {
         /// The holder.
         holder: EntryId,
-        /// The epoch the copies were for.
+        /// The epoch in which the copies were sent.
         epoch: u64,
-        /// The slots.
+        /// The slots whose claims were copied.
         slots: Vec<u16>,
     },
-    /// A new owner asks what is known of some slots.
+    /// A new owner asks for the claims in some slots.
     Collect {
-        /// Names the question, for the answer.
+        /// Matches the answer to this event.
         call_id: u64,
-        /// The new owner's epoch.
+        /// The new owner's roster epoch.
         epoch: u64,
-        /// The slots.
+        /// The slots to report.
         slots: Vec<u16>,
     },
-    /// A holder answered what it knows.
+    /// A holder reported its claims in some slots.
     Collected {
         /// The holder.
         holder: EntryId,
-        /// The epoch the question was for.
+        /// The epoch in which the claims were requested.
         epoch: u64,
-        /// The slots the question was for.
+        /// The reported slots.
         slots: Vec<u16>,
-        /// Its claims in them.
+        /// The holder's claims in these slots.
         records: Vec<ClaimRecord>,
     },
 }
 
-/// An entry VM's question whether it may run a request.
+/// An entry VM's request for permission to run a caller's request.
 #[derive(Clone, PartialEq, Eq, Debug, serde::Serialize, serde::Deserialize)]
 pub struct ClaimRequest {
-    /// Names the question, for the verdict.
+    /// Matches the verdict to this request.
     pub call_id: u64,
-    /// The key.
+    /// The key to claim.
     pub key: ClaimKey,
-    /// Hash of the request.
+    /// Hash of the caller's request.
     pub fingerprint: u64,
-    /// Who would run it.
+    /// The claimant that would run the request.
     pub claimant: Claimant,
     /// The claimant's roster epoch.
     pub epoch: u64,
@@ -102,17 +103,18 @@
     pub grant: Millis,
 }
 
-/// What an owner tells another holder of one claim.
+/// A change to the copy of one claim at another holder.
 #[derive(Clone, PartialEq, Eq, Debug, serde::Serialize, serde::Deserialize)]
 pub enum CopyChange {
-    /// Hold it.
+    /// Store this copy.
     Hold(ClaimRecord),
-    /// Drop this very grant: it did not run. A later grant of the key stays.
+    /// Drop the copy of the grant with this serial, as its request did not run. A later grant of
+    /// the key is retained.
     Drop(ClaimKey, ClaimSerial),
 }
 
 impl CopyChange {
-    /// The key it is about.
+    /// Returns the key of the claim.
     pub fn key(&self) -> ClaimKey {
         match self {
             Self::Hold(record) => record.key,
@@ -121,79 +123,80 @@
     }
 }
 
-/// What an claimant says became of its request.
+/// The outcome of a claimed request, as its claimant reports it.
 #[derive(Clone, PartialEq, Eq, Debug, serde::Serialize, serde::Deserialize)]
 pub enum FinishOutcome {
-    /// It ran and was answered.
+    /// The request ran and was answered.
     Answered(Arc<StoredAnswer>),
-    /// It was never sent, or the upstream said that it did not run it.
+    /// The request was never sent, or the upstream reported that it did not run it.
     NotRun,
-    /// It was sent and nothing more is known.
+    /// The request was sent, and it is not known whether it ran.
     Unknown,
 }
 
-/// Something the claims want done.
+/// An output of [`ClaimState`](crate::ClaimState).
 #[derive(Clone, PartialEq, Debug)]
 pub enum ClaimAction {
-    /// Answer an [`ClaimEvent::Request`].
+    /// Answer a [`ClaimEvent::Request`].
     Verdict {
-        /// The question.
+        /// The `call_id` of the request.
         call_id: u64,
-        /// The answer.
+        /// The verdict.
         verdict: Verdict,
     },
-    /// Ask a holder to hold a copy, or to drop it.
+    /// Ask a holder to store or drop a copy.
     SendCopy {
-        /// The operation; its answer comes as [`ClaimEvent::Copied`].
+        /// The operation; its answer arrives as [`ClaimEvent::Copied`]. Zero if no grant waits for
+        /// the answer.
         op: u64,
         /// The holder.
         to: EntryId,
-        /// This owner's epoch.
+        /// This owner's roster epoch.
         epoch: u64,
-        /// What to hold or drop.
+        /// The copy to store or drop.
         change: CopyChange,
     },
     /// Answer a [`ClaimEvent::Copy`].
     AnswerCopy {
-        /// The question.
+        /// The `call_id` of the event.
         call_id: u64,
-        /// Whether the copy is held.
+        /// Whether the change was applied.
         is_held: bool,
     },
-    /// Give a holder copies of what was collected.
+    /// Send a holder copies of the collected claims.
     SendReplica {
         /// The holder.
         to: EntryId,
-        /// This owner's epoch.
+        /// This owner's roster epoch.
         epoch: u64,
-        /// The slots the copies are of.
+        /// The slots whose claims are copied.
         slots: Vec<u16>,
         /// The copies.
         records: Vec<ClaimRecord>,
     },
     /// Answer a [`ClaimEvent::Replica`].
     AnswerReplica {
-        /// The question.
+        /// The `call_id` of the event.
         call_id: u64,
-        /// Whether the copies are held.
+        /// Whether the copies were stored.
         is_held: bool,
     },
-    /// Ask a holder what it knows.
+    /// Ask a holder for its claims.
     SendCollect {
         /// The holder.
         to: EntryId,
-        /// This owner's epoch.
+        /// This owner's roster epoch.
         epoch: u64,
-        /// The slots.
+        /// The slots to report.
         slots: Vec<u16>,
     },
-    /// Answer a [`ClaimEvent::Collect`]; none when the epoch is not known here.
+    /// Answer a [`ClaimEvent::Collect`].
     AnswerCollect {
-        /// The question.
+        /// The `call_id` of the event.
         call_id: u64,
-        /// The claims.
+        /// The claims; `None` if this VM is in another epoch.
         records: Option<Vec<ClaimRecord>>,
     },
-    /// Every owned slot was taken over in this epoch.
+    /// The takeover of every owned slot is complete in this epoch.
     Settled(u64),
 }
--- a/crates/claims/src/lib.rs
+++ b/crates/claims/src/lib.rs
@@ -1,11 +1,11 @@
-//! Claims on idempotency keys: a non-idempotent request with a key runs at most once, also when
-//! the caller repeats it at another entry VM.
+//! Claims on idempotency keys: a non-idempotent request with a key runs at most once, even if the
+//! caller retries it through another entry VM.
 //!
-//! A key falls into a slot; the slot's owner grants the claim once another holder has its copy.
-//! An owner is replaced only by a new roster epoch, and the new one serves a slot only after it
-//! has heard from every holder that is left, see [`takeover`].
+//! Each key maps to a slot. The owner of the slot grants a claim once another holder has a copy of
+//! it. Only a new roster epoch replaces an owner, and the new owner serves a slot only after every
+//! remaining holder has reported its claims, see [`takeover`].
 //!
-//! Decisions only: no I/O, no clock, no random numbers.
+//! This crate only makes decisions: it performs no I/O and reads no clock or random numbers.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/claims/src/record.rs
+++ b/crates/claims/src/record.rs
@@ -1,113 +1,116 @@
-//! What is kept of a claimed key.
+//! Claims on idempotency keys as they are stored and sent.
 
 use bergamot_types::prelude::*;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// A hashed account and idempotency key.
+/// Hash of a client account and its idempotency key.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug, Serialize, Deserialize)]
 pub struct ClaimKey(pub u128);
 
 impl ClaimKey {
-    /// The key of one account's idempotency key.
+    /// Hashes an account's idempotency key.
     pub fn of(account: &ClientAccount, key: &str) -> Self {
         let low = rendezvous_score(hash_bytes(account.as_str().as_bytes()), key);
         let high = rendezvous_score(!low, key) ^ hash_bytes(account.as_str().as_bytes());
         Self(u128::from(high) << 64 | u128::from(low))
     }
 
-    /// The slot it falls into.
+    /// Returns the slot that the key maps to.
     pub fn slot(self) -> u16 {
         bergamot_roster::slot_of(self.0)
     }
 }
 
-/// The roster epoch a claim was granted in and the owner's count of grants: later ones are greater.
+/// Orders grants: the roster epoch of the grant, then the owner's grant counter.
 #[derive(
     Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug, Default, Serialize, Deserialize,
 )]
 pub struct ClaimSerial {
-    /// The roster epoch.
+    /// The roster epoch in which the claim was granted.
     pub epoch: u64,
-    /// The owner's count.
+    /// The owner's grant counter.
     pub count: u64,
 }
 
-/// Who asks for a claim: one attempt of one run of one entry VM's daemon.
+/// The entry VM that requests a claim, with its incarnation and the attempt.
 ///
-/// The attempt keeps a late word on an earlier one from ending a later one.
+/// The attempt number ensures that a late outcome of an earlier attempt does not finish a later
+/// one.
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Serialize, Deserialize)]
 pub struct Claimant {
     /// The entry VM.
     pub entry: EntryId,
-    /// Which run of its daemon.
+    /// The incarnation of its daemon.
     pub incarnation: u64,
-    /// Which of its attempts.
+    /// The number of the attempt within the incarnation.
     pub attempt: u64,
 }
 
-/// The first answer, kept for repeats.
+/// The first answer to a request, replayed to retries.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct StoredAnswer {
     /// HTTP status.
     pub status: u16,
     /// Content type.
     pub content_type: String,
-    /// The body; none when it was too large to keep.
+    /// The body; `None` if it was too large to store.
     pub body: Option<Vec<u8>>,
 }
 
-/// What became of the claimed request.
+/// State of a claimed request.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum ClaimPhase {
-    /// It may be running.
+    /// The request may be running.
     Granted,
-    /// It ran, and this is the answer.
+    /// The request ran and got this answer.
     Done(Arc<StoredAnswer>),
-    /// It may have run; nobody knows.
-    Lost,
+    /// The request may have run; its outcome will not become known.
+    OutcomeUnknown,
 }
 
-/// One claim.
+/// A claim as it is sent between holders.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct ClaimRecord {
-    /// The key.
+    /// The claimed key.
     pub key: ClaimKey,
-    /// Orders the claims that were ever granted on one key.
+    /// Orders all grants of the key.
     pub serial: ClaimSerial,
-    /// Hash of the request it was first used with.
+    /// Hash of the first request that used the key.
     pub fingerprint: u64,
-    /// Who may run it.
+    /// The claimant that may run the request.
     pub claimant: Claimant,
-    /// What became of it.
+    /// State of the request.
     pub phase: ClaimPhase,
-    /// Milliseconds left until a grant counts as lost, as of when the record was sent.
+    /// Time until the outcome of an unfinished grant counts as unknown, measured when the record
+    /// was sent.
     pub grant_left: Millis,
-    /// Milliseconds left until it is forgotten, as of when the record was sent.
+    /// Time until the claim is dropped, measured when the record was sent.
     pub retention_left: Millis,
 }
 
-/// The owner's word on a request with a key.
+/// The owner's decision on a request with an idempotency key.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum Verdict {
-    /// Run it, now and once.
+    /// The request may run now, once.
     Granted,
-    /// It ran; this is the first answer.
+    /// The request ran before; this is its first answer.
     Replay(Arc<StoredAnswer>),
-    /// The first is still running.
+    /// The first request with the key is still running.
     InProgress,
-    /// The key was used with another request.
+    /// The key was used with a different request.
     KeyReused,
-    /// The first was sent, and its outcome is not known.
+    /// The first request was sent, and its outcome is unknown.
     OutcomeUnknown,
-    /// Refused, not run: the holders cannot be reached or do not agree on the roster.
+    /// Rejected before it ran: this VM does not serve the key's slot, no other holder took the
+    /// copy, the claims are at their limit, or the roster epochs differ.
     Unavailable,
-    /// Refused: holders that may have known the key were lost together.
+    /// Rejected: holders that may have known the key were lost together.
     Forgotten,
 }
 
 impl Verdict {
-    /// The error a caller gets; none for a grant or a kept answer.
+    /// Returns the caller's error, or `None` for a grant or a replayed answer.
     pub fn error(&self) -> Option<ErrorKind> {
         match self {
             Self::Granted | Self::Replay(_) => None,
--- a/crates/claims/src/state.rs
+++ b/crates/claims/src/state.rs
@@ -1,4 +1,4 @@
-//! One entry VM's claims: those it owns, and the copies it holds for others.
+//! Claims of one entry VM: those in the slots it owns, and the copies it holds for other owners.
 
 mod copies;
 mod grants;
@@ -9,19 +9,19 @@
 
 use crate::event::{ClaimAction, ClaimEvent};
 use crate::record::{ClaimKey, ClaimPhase, ClaimRecord, ClaimSerial, Claimant, Verdict};
-use crate::takeover::{HolderHistory, SlotPhase, begin};
+use crate::takeover::{HolderHistory, SlotPhase, initial_phase};
 use std::sync::Arc;
 
-/// How long claims live, and how many are kept.
+/// Time limits and capacity of the claims.
 #[derive(Clone, Debug)]
 pub struct ClaimOptions {
-    /// How long an answer is kept for repeats.
+    /// How long an answer is retained for retries.
     pub retention: Millis,
-    /// How long the other holder has to answer.
+    /// How long a holder may take to confirm a copy before the next one is tried.
     pub copy_timeout: Millis,
-    /// Time between two questions to a holder that has not answered.
+    /// Time between two attempts to collect claims from a holder that has not answered.
     pub collect_retry: Millis,
-    /// Claims kept at most; a new one is refused beyond that, never an old one dropped.
+    /// Capacity for claims. Beyond it new claims are rejected; stored claims are never evicted.
     pub max_claims: usize,
 }
 
@@ -42,97 +42,103 @@
     fingerprint: u64,
     claimant: Claimant,
     phase: ClaimPhase,
-    lost_at: Millis,
-    forget_at: Millis,
+    /// When the outcome of an unfinished grant counts as unknown.
+    grant_ends_at: Millis,
+    expires_at: Millis,
 }
 
+/// A grant whose verdict waits until a holder has a copy of the claim.
 #[derive(Clone, Debug)]
 struct PendingGrant {
     call_id: u64,
     key: ClaimKey,
     serial: ClaimSerial,
-    untried: Vec<EntryId>,
-    tried: Vec<EntryId>,
-    waiting_since: Millis,
+    untried_holders: Vec<EntryId>,
+    tried_holders: Vec<EntryId>,
+    copy_sent_at: Millis,
 }
 
-/// The claims of one entry VM.
+/// Claims of one entry VM.
 #[derive(Clone, Debug)]
 pub struct ClaimState {
-    me: EntryId,
+    own_id: EntryId,
     options: ClaimOptions,
     roster: RosterRecord,
-    map: SlotMap,
-    slots: Vec<SlotPhase>,
+    slot_map: SlotMap,
+    slot_phases: Vec<SlotPhase>,
     claims: IndexMap<ClaimKey, StoredClaim>,
-    pending: IndexMap<u64, PendingGrant>,
+    pending_grants: IndexMap<u64, PendingGrant>,
     next_op: u64,
-    next_collect: Millis,
-    next_expiry: Millis,
-    reported: u64,
+    next_collect_at: Millis,
+    next_expiry_at: Millis,
+    /// The last epoch that was reported as settled.
+    reported_epoch: u64,
 }
 
-/// Time between two passes that drop what is no longer kept.
+/// Time between two passes that drop expired claims.
 const EXPIRY_PERIOD: Millis = Millis(1_000);
 
 impl ClaimState {
-    /// The claims of a VM that knows no roster yet.
-    pub fn new(me: EntryId, options: ClaimOptions) -> Self {
+    /// Creates the state of a VM that has no roster yet.
+    pub fn new(own_id: EntryId, options: ClaimOptions) -> Self {
         Self {
-            me,
+            own_id,
             options,
             roster: RosterRecord::default(),
-            map: SlotMap::default(),
-            slots: vec![SlotPhase::NotOwned; usize::from(SLOT_COUNT)],
+            slot_map: SlotMap::default(),
+            slot_phases: vec![SlotPhase::NotOwned; usize::from(SLOT_COUNT)],
             claims: IndexMap::new(),
-            pending: IndexMap::new(),
+            pending_grants: IndexMap::new(),
             next_op: 1,
-            next_collect: Millis::ZERO,
-            next_expiry: Millis::ZERO,
-            reported: 0,
+            next_collect_at: Millis::ZERO,
+            next_expiry_at: Millis::ZERO,
+            reported_epoch: 0,
         }
     }
 
-    /// The owner of a key in the newest known epoch, with that epoch.
+    /// Returns the owner of a key in the newest known epoch, with that epoch.
     pub fn owner(&self, key: ClaimKey) -> Option<(&EntryId, u64)> {
-        let owner = self.map.owner(key.slot())?;
+        let owner = self.slot_map.owner(key.slot())?;
         Some((owner, self.roster.epoch))
     }
 
-    /// Claims held, owned or copied.
+    /// Returns the number of stored claims, including copies held for other owners.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// Whether no claim is held.
+    /// Whether no claim is stored.
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
 
-    /// The epoch this VM is bound to.
+    /// Returns the newest roster epoch known to this VM. It rejects messages of all others.
     pub fn epoch(&self) -> u64 {
         self.roster.epoch
     }
 
-    /// Owned slots, and how many of them are not ready.
+    /// Returns the number of owned slots, and how many of them are not served yet.
     pub fn slot_counts(&self) -> (usize, usize) {
-        let owned = self.slots.iter().filter(|s| **s != SlotPhase::NotOwned);
-        let ready = self.slots.iter().filter(|phase| is_served(phase));
-        let owned = owned.count();
-        (owned, owned - ready.count())
+        let owned_slots = self
+            .slot_phases
+            .iter()
+            .filter(|phase| **phase != SlotPhase::NotOwned);
+        let served_slots = self.slot_phases.iter().filter(|phase| is_served(phase));
+        let owned_count = owned_slots.count();
+        (owned_count, owned_count - served_slots.count())
     }
 
-    /// Takes one event and says what to do.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, now: Millis, event: ClaimEvent) -> Vec<ClaimAction> {
         match event {
             ClaimEvent::Tick => self.tick(now),
-            ClaimEvent::Roster(record) => self.take_roster(now, record),
-            ClaimEvent::Request(question) => self.take_ask(now, question),
+            ClaimEvent::Roster(roster) => self.set_roster(now, roster),
+            ClaimEvent::Request(request) => self.handle_request(now, request),
             ClaimEvent::Finish {
                 key,
                 claimant,
                 outcome,
-            } => self.take_finish(now, key, &claimant, outcome),
+            } => self.handle_finish(now, key, &claimant, outcome),
             ClaimEvent::Copy {
                 call_id,
                 epoch,
@@ -140,26 +146,26 @@
                 change,
             } => vec![ClaimAction::AnswerCopy {
                 call_id,
-                is_held: self.hold_copy(now, epoch, &owner, change),
+                is_held: self.apply_copy(now, epoch, &owner, change),
             }],
             ClaimEvent::Copied {
                 op,
                 holder,
                 is_held,
-            } => self.take_copied(now, op, &holder, is_held),
+            } => self.handle_copied(now, op, &holder, is_held),
             ClaimEvent::Replica {
                 call_id,
                 epoch,
                 records,
             } => vec![ClaimAction::AnswerReplica {
                 call_id,
-                is_held: self.hold_replica(now, epoch, records),
+                is_held: self.store_replica(now, epoch, records),
             }],
             ClaimEvent::Replicated {
                 holder,
                 epoch,
                 slots,
-            } => self.take_replicated(&holder, epoch, &slots),
+            } => self.handle_replicated(&holder, epoch, &slots),
             ClaimEvent::Collect {
                 call_id,
                 epoch,
@@ -167,7 +173,7 @@
             } => {
                 vec![ClaimAction::AnswerCollect {
                     call_id,
-                    records: self.tell(now, epoch, &slots),
+                    records: self.records_in(now, epoch, &slots),
                 }]
             }
             ClaimEvent::Collected {
@@ -175,101 +181,106 @@
                 epoch,
                 slots,
                 records,
-            } => self.take_collected(now, &holder, epoch, &slots, records),
+            } => self.handle_collected(now, &holder, epoch, &slots, records),
         }
     }
 
-    fn take_roster(&mut self, now: Millis, record: RosterRecord) -> Vec<ClaimAction> {
-        if record.epoch < self.roster.epoch {
+    fn set_roster(&mut self, now: Millis, roster: RosterRecord) -> Vec<ClaimAction> {
+        if roster.epoch < self.roster.epoch {
             return Vec::new();
         }
-        let is_new_epoch = record.epoch > self.roster.epoch;
-        let is_next_epoch = record.epoch == self.roster.epoch + 1;
-        self.roster = record;
+        let is_new_epoch = roster.epoch > self.roster.epoch;
+        let is_next_epoch = roster.epoch == self.roster.epoch + 1;
+        self.roster = roster;
         if !is_new_epoch {
             return self.report_settled();
         }
-        self.map = SlotMap::at_epoch(&self.roster, self.roster.epoch);
-        let history = HolderHistory::of(&self.roster);
+        self.slot_map = SlotMap::at_epoch(&self.roster, self.roster.epoch);
+        let history = HolderHistory::from_roster(&self.roster);
         for slot in 0..SLOT_COUNT {
-            let old = std::mem::replace(&mut self.slots[usize::from(slot)], SlotPhase::NotOwned);
-            if self.map.owner(slot) != Some(&self.me) {
+            let old_phase = std::mem::replace(
+                &mut self.slot_phases[usize::from(slot)],
+                SlotPhase::NotOwned,
+            );
+            if self.slot_map.owner(slot) != Some(&self.own_id) {
                 continue;
             }
-            // Whoever owned the slot up to now, with no other epoch between, knows it all.
-            let is_known = is_next_epoch && is_served(&old);
-            let phase = match is_known {
-                true => self.known_phase(slot),
-                false => self.begin_slot(now, &history, slot, old),
+            // A VM that owned the slot in the directly preceding epoch knows every claim in it.
+            let knows_all_claims = is_next_epoch && is_served(&old_phase);
+            let phase = match knows_all_claims {
+                true => self.collected_phase(slot),
+                false => self.takeover_phase(now, &history, slot, old_phase),
             };
-            self.slots[usize::from(slot)] = phase;
+            self.slot_phases[usize::from(slot)] = phase;
         }
-        self.lose_orphans();
-        let mut actions = self.withdraw_all();
-        self.next_collect = now;
+        self.mark_orphans_unknown();
+        let mut actions = self.reject_pending_grants();
+        self.next_collect_at = now;
         actions.extend(self.tick(now));
         actions
     }
 
-    fn begin_slot(
+    fn takeover_phase(
         &self,
         now: Millis,
         history: &HolderHistory,
         slot: u16,
-        old: SlotPhase,
+        old_phase: SlotPhase,
     ) -> SlotPhase {
-        let forget_until = now + self.options.retention;
+        let incomplete_until = now + self.options.retention;
         match (
-            old,
-            begin(&self.roster, history, &self.me, slot, forget_until),
+            old_phase,
+            initial_phase(&self.roster, history, &self.own_id, slot, incomplete_until),
         ) {
-            (_, SlotPhase::Forgetful(until)) => SlotPhase::Forgetful(until),
-            (SlotPhase::Forgetful(until), _) if until > now => SlotPhase::Forgetful(until),
-            (_, SlotPhase::Ready) => self.known_phase(slot),
-            (_, begun) => begun,
+            (_, SlotPhase::Incomplete(until)) => SlotPhase::Incomplete(until),
+            (SlotPhase::Incomplete(until), _) if until > now => SlotPhase::Incomplete(until),
+            (_, SlotPhase::Ready) => self.collected_phase(slot),
+            (_, phase) => phase,
         }
     }
 
-    /// A claim whose claimant is gone can no longer be answered.
-    fn lose_orphans(&mut self) {
+    /// Marks the outcome of each grant as unknown whose claimant is not in the roster, as no
+    /// outcome will be reported for it.
+    fn mark_orphans_unknown(&mut self) {
         let roster = &self.roster;
         for claim in self.claims.values_mut() {
-            let is_there = roster.holds(&claim.claimant.entry, claim.claimant.incarnation);
-            if claim.phase == ClaimPhase::Granted && !is_there {
-                claim.phase = ClaimPhase::Lost;
+            let is_member = roster.holds(&claim.claimant.entry, claim.claimant.incarnation);
+            if claim.phase == ClaimPhase::Granted && !is_member {
+                claim.phase = ClaimPhase::OutcomeUnknown;
             }
         }
     }
 
-    /// Grants that wait for a copy in an old epoch are refused; they were never told.
-    fn withdraw_all(&mut self) -> Vec<ClaimAction> {
-        let pending = std::mem::take(&mut self.pending);
+    /// Rejects the grants that wait for a copy in an old epoch. Their claimants have had no
+    /// verdict yet.
+    fn reject_pending_grants(&mut self) -> Vec<ClaimAction> {
+        let pending_grants = std::mem::take(&mut self.pending_grants);
         let mut actions = Vec::new();
-        for grant in pending.into_values() {
+        for grant in pending_grants.into_values() {
             self.drop_grant(grant.key, grant.serial);
-            actions.extend(self.refuse(&grant));
+            actions.extend(self.reject_grant(&grant));
         }
         actions
     }
 
     fn tick(&mut self, now: Millis) -> Vec<ClaimAction> {
         let mut actions = Vec::new();
-        let late: Vec<u64> = self
-            .pending
+        let timed_out_ops: Vec<u64> = self
+            .pending_grants
             .iter()
-            .filter(|(_, grant)| now.since(grant.waiting_since) > self.options.copy_timeout)
+            .filter(|(_, grant)| now.since(grant.copy_sent_at) > self.options.copy_timeout)
             .map(|(op, _)| *op)
             .collect();
-        for op in late {
+        for op in timed_out_ops {
             actions.extend(self.try_next_holder(now, op));
         }
-        if now >= self.next_expiry {
-            self.next_expiry = now + EXPIRY_PERIOD;
+        if now >= self.next_expiry_at {
+            self.next_expiry_at = now + EXPIRY_PERIOD;
             self.expire(now);
         }
-        if now >= self.next_collect {
-            self.next_collect = now + self.options.collect_retry;
-            self.ask_holders(&mut actions);
+        if now >= self.next_collect_at {
+            self.next_collect_at = now + self.options.collect_retry;
+            self.send_collects(&mut actions);
             self.send_replicas(now, &mut actions);
             actions.extend(self.report_settled());
         }
@@ -277,29 +288,29 @@
     }
 
     fn expire(&mut self, now: Millis) {
-        self.claims.retain(|_, claim| claim.forget_at > now);
+        self.claims.retain(|_, claim| claim.expires_at > now);
         for claim in self.claims.values_mut() {
-            if claim.phase == ClaimPhase::Granted && claim.lost_at <= now {
-                claim.phase = ClaimPhase::Lost;
+            if claim.phase == ClaimPhase::Granted && claim.grant_ends_at <= now {
+                claim.phase = ClaimPhase::OutcomeUnknown;
             }
         }
-        for phase in &mut self.slots {
-            if matches!(phase, SlotPhase::Forgetful(until) if *until <= now) {
+        for phase in &mut self.slot_phases {
+            if matches!(phase, SlotPhase::Incomplete(until) if *until <= now) {
                 *phase = SlotPhase::Ready;
             }
         }
     }
 
-    fn ask_holders(&self, actions: &mut Vec<ClaimAction>) {
-        let mut questions: IndexMap<&EntryId, Vec<u16>> = IndexMap::new();
-        for (slot, phase) in self.slots.iter().enumerate() {
-            if let SlotPhase::Collecting(waiting) = phase {
-                for holder in waiting {
-                    questions.entry(holder).or_default().push(slot as u16);
+    fn send_collects(&self, actions: &mut Vec<ClaimAction>) {
+        let mut slots_by_holder: IndexMap<&EntryId, Vec<u16>> = IndexMap::new();
+        for (slot, phase) in self.slot_phases.iter().enumerate() {
+            if let SlotPhase::Collecting(unanswered) = phase {
+                for holder in unanswered {
+                    slots_by_holder.entry(holder).or_default().push(slot as u16);
                 }
             }
         }
-        for (holder, slots) in questions {
+        for (holder, slots) in slots_by_holder {
             actions.push(ClaimAction::SendCollect {
                 to: holder.clone(),
                 epoch: self.roster.epoch,
@@ -309,19 +320,24 @@
     }
 
     fn send_replicas(&self, now: Millis, actions: &mut Vec<ClaimAction>) {
-        let mut copies: IndexMap<&EntryId, (Vec<u16>, Vec<ClaimRecord>)> = IndexMap::new();
-        for (slot, phase) in self.slots.iter().enumerate() {
-            if let SlotPhase::Replicating(waiting) = phase {
-                for holder in waiting {
-                    copies.entry(holder).or_default().0.push(slot as u16);
+        let mut copies_by_holder: IndexMap<&EntryId, (Vec<u16>, Vec<ClaimRecord>)> =
+            IndexMap::new();
+        for (slot, phase) in self.slot_phases.iter().enumerate() {
+            if let SlotPhase::Replicating(candidates) = phase {
+                for holder in candidates {
+                    copies_by_holder
+                        .entry(holder)
+                        .or_default()
+                        .0
+                        .push(slot as u16);
                 }
             }
         }
-        for (holder, (slots, mut records)) in copies {
-            let chosen: IndexSet<u16> = slots.iter().copied().collect();
+        for (holder, (slots, mut records)) in copies_by_holder {
+            let slot_set: IndexSet<u16> = slots.iter().copied().collect();
             let claims = self.claims.iter();
-            let claims = claims.filter(|(key, _)| chosen.contains(&key.slot()));
-            records.extend(claims.map(|(key, claim)| export(*key, claim, now)));
+            let slot_claims = claims.filter(|(key, _)| slot_set.contains(&key.slot()));
+            records.extend(slot_claims.map(|(key, claim)| claim_record(*key, claim, now)));
             actions.push(ClaimAction::SendReplica {
                 to: holder.clone(),
                 epoch: self.roster.epoch,
@@ -332,14 +348,15 @@
     }
 
     fn report_settled(&mut self) -> Vec<ClaimAction> {
-        // A forgetful slot is not settled either: were the losses behind it forgotten by the
-        // roster, the slot's next owner would not know that claims were lost.
-        let is_open = |phase: &SlotPhase| !matches!(phase, SlotPhase::NotOwned | SlotPhase::Ready);
-        let is_settled = !self.slots.iter().any(is_open);
-        if !is_settled || self.reported >= self.roster.epoch {
+        // An incomplete slot does not count as settled: the roster would drop the departed members
+        // behind it, and the slot's next owner would not know that claims were lost.
+        let is_unsettled =
+            |phase: &SlotPhase| !matches!(phase, SlotPhase::NotOwned | SlotPhase::Ready);
+        let is_settled = !self.slot_phases.iter().any(is_unsettled);
+        if !is_settled || self.reported_epoch >= self.roster.epoch {
             return Vec::new();
         }
-        self.reported = self.roster.epoch;
+        self.reported_epoch = self.roster.epoch;
         vec![ClaimAction::Settled(self.roster.epoch)]
     }
 }
@@ -348,33 +365,34 @@
     matches!(phase, SlotPhase::Ready | SlotPhase::Replicating(_))
 }
 
-fn known_verdict(claim: &StoredClaim, fingerprint: u64, now: Millis) -> Verdict {
+fn stored_verdict(claim: &StoredClaim, fingerprint: u64, now: Millis) -> Verdict {
     if claim.fingerprint != fingerprint {
         return Verdict::KeyReused;
     }
     match &claim.phase {
         ClaimPhase::Done(answer) => Verdict::Replay(Arc::clone(answer)),
-        ClaimPhase::Granted if claim.lost_at > now => Verdict::InProgress,
-        ClaimPhase::Granted | ClaimPhase::Lost => Verdict::OutcomeUnknown,
+        ClaimPhase::Granted if claim.grant_ends_at > now => Verdict::InProgress,
+        ClaimPhase::Granted | ClaimPhase::OutcomeUnknown => Verdict::OutcomeUnknown,
     }
 }
 
-fn export(key: ClaimKey, claim: &StoredClaim, now: Millis) -> ClaimRecord {
+fn claim_record(key: ClaimKey, claim: &StoredClaim, now: Millis) -> ClaimRecord {
     ClaimRecord {
         key,
         serial: claim.serial,
         fingerprint: claim.fingerprint,
         claimant: claim.claimant.clone(),
         phase: claim.phase.clone(),
-        grant_left: claim.lost_at.since(now),
-        retention_left: claim.forget_at.since(now),
+        grant_left: claim.grant_ends_at.since(now),
+        retention_left: claim.expires_at.since(now),
     }
 }
 
-fn rank(phase: &ClaimPhase) -> u8 {
+/// Orders the phases of one grant. Records of a higher rank replace those of a lower one.
+fn phase_rank(phase: &ClaimPhase) -> u8 {
     match phase {
         ClaimPhase::Granted => 0,
-        ClaimPhase::Lost => 1,
+        ClaimPhase::OutcomeUnknown => 1,
         ClaimPhase::Done(_) => 2,
     }
 }
--- a/crates/claims/src/state/grants.rs
+++ b/crates/claims/src/state/grants.rs
@@ -1,15 +1,19 @@
-//! Questions of callers, and the grants that wait for a copy.
+//! Requests for claims, the grants that wait for a copy, and the outcomes of claimed requests.
 
 use bergamot_types::mutate::{Mutation, is_on};
 use bergamot_types::prelude::*;
 
-use super::{ClaimState, PendingGrant, StoredClaim, export, known_verdict};
+use super::{ClaimState, PendingGrant, StoredClaim, claim_record, stored_verdict};
 use crate::event::{ClaimAction, ClaimRequest, CopyChange, FinishOutcome};
 use crate::record::{ClaimKey, ClaimPhase, ClaimSerial, Claimant, Verdict};
-use crate::takeover::{SlotPhase, co_holders};
+use crate::takeover::{SlotPhase, copy_holders};
 
 impl ClaimState {
-    pub(super) fn take_ask(&mut self, now: Millis, question: ClaimRequest) -> Vec<ClaimAction> {
+    pub(super) fn handle_request(
+        &mut self,
+        now: Millis,
+        request: ClaimRequest,
+    ) -> Vec<ClaimAction> {
         let ClaimRequest {
             call_id,
             key,
@@ -17,70 +21,73 @@
             claimant,
             epoch,
             grant,
-        } = question;
-        let verdict = |verdict| vec![ClaimAction::Verdict { call_id, verdict }];
+        } = request;
+        let answer = |verdict| vec![ClaimAction::Verdict { call_id, verdict }];
         if epoch != self.roster.epoch || !self.roster.holds(&claimant.entry, claimant.incarnation) {
-            return verdict(Verdict::Unavailable);
+            return answer(Verdict::Unavailable);
         }
-        match &self.slots[usize::from(key.slot())] {
+        match &self.slot_phases[usize::from(key.slot())] {
             SlotPhase::NotOwned | SlotPhase::Collecting(_) => {
-                return verdict(Verdict::Unavailable);
+                return answer(Verdict::Unavailable);
             }
-            SlotPhase::Replicating(_) | SlotPhase::Ready | SlotPhase::Forgetful(_) => {}
+            SlotPhase::Replicating(_) | SlotPhase::Ready | SlotPhase::Incomplete(_) => {}
         }
         if let Some(claim) = self.claims.get(&key) {
-            return verdict(known_verdict(claim, fingerprint, now));
+            return answer(stored_verdict(claim, fingerprint, now));
         }
-        if let SlotPhase::Forgetful(until) = &self.slots[usize::from(key.slot())]
+        if let SlotPhase::Incomplete(until) = &self.slot_phases[usize::from(key.slot())]
             && *until > now
         {
-            return verdict(Verdict::Forgotten);
+            return answer(Verdict::Forgotten);
         }
         if self.claims.len() >= self.options.max_claims {
-            return verdict(Verdict::Unavailable);
+            return answer(Verdict::Unavailable);
         }
         let op = self.next_op;
         self.next_op += 1;
         let serial = ClaimSerial { epoch, count: op };
-        let stored = StoredClaim {
+        let claim = StoredClaim {
             serial,
             fingerprint,
             claimant,
             phase: ClaimPhase::Granted,
-            lost_at: now + grant,
-            forget_at: now + grant + self.options.retention,
+            grant_ends_at: now + grant,
+            expires_at: now + grant + self.options.retention,
         };
-        self.claims.insert(key, stored);
-        let mut untried: Vec<EntryId> = co_holders(&self.map, &self.me, key.slot())
-            .into_iter()
-            .collect();
-        if untried.is_empty() || is_on(Mutation::GrantWithoutReplica) {
-            // A lone entry VM has nobody to copy to, and nobody to be replaced by either.
-            return verdict(Verdict::Granted);
+        self.claims.insert(key, claim);
+        let mut untried_holders: Vec<EntryId> =
+            copy_holders(&self.slot_map, &self.own_id, key.slot())
+                .into_iter()
+                .collect();
+        if untried_holders.is_empty() || is_on(Mutation::GrantWithoutReplica) {
+            // A single entry VM has no other holder to copy to, and none that could replace it.
+            return answer(Verdict::Granted);
         }
-        let first = untried.remove(0);
-        let grant = PendingGrant {
+        let first_holder = untried_holders.remove(0);
+        let pending_grant = PendingGrant {
             call_id,
             key,
             serial,
-            untried,
-            tried: vec![first.clone()],
-            waiting_since: now,
+            untried_holders,
+            tried_holders: vec![first_holder.clone()],
+            copy_sent_at: now,
         };
-        self.pending.insert(op, grant);
-        vec![self.copy_to(now, op, first, (key, serial))]
+        self.pending_grants.insert(op, pending_grant);
+        vec![self.send_copy(now, op, first_holder, (key, serial))]
     }
 
-    pub(super) fn copy_to(
+    /// Returns the action that sends a holder the current state of a grant: the claim, or that it
+    /// was dropped.
+    pub(super) fn send_copy(
         &self,
         now: Millis,
         op: u64,
         to: EntryId,
         (key, serial): (ClaimKey, ClaimSerial),
     ) -> ClaimAction {
-        let held = self.claims.get(&key).filter(|claim| claim.serial == serial);
-        let change = match held {
-            Some(claim) => CopyChange::Hold(export(key, claim, now)),
+        let stored_claim = self.claims.get(&key).filter(|claim| claim.serial == serial);
+        let change = match stored_claim {
+            Some(claim) => CopyChange::Hold(claim_record(key, claim, now)),
             None => CopyChange::Drop(key, serial),
         };
         ClaimAction::SendCopy {
@@ -91,24 +98,24 @@
         }
     }
 
-    /// Drops one grant of a key, never a later one of the same key.
+    /// Drops the grant of a key that has this serial. A later grant of the key is retained.
     pub(super) fn drop_grant(&mut self, key: ClaimKey, serial: ClaimSerial) {
-        let is_same = self
+        let is_same_grant = self
             .claims
             .get(&key)
             .is_some_and(|claim| claim.serial == serial);
-        if is_same {
+        if is_same_grant {
             self.claims.swap_remove(&key);
         }
     }
 
-    pub(super) fn refuse(&self, grant: &PendingGrant) -> Vec<ClaimAction> {
+    pub(super) fn reject_grant(&self, grant: &PendingGrant) -> Vec<ClaimAction> {
         let mut actions = vec![ClaimAction::Verdict {
             call_id: grant.call_id,
             verdict: Verdict::Unavailable,
         }];
-        // A holder may have the copy although its answer was lost.
-        for holder in &grant.tried {
+        // A holder may have stored the copy even if its answer was lost.
+        for holder in &grant.tried_holders {
             actions.push(ClaimAction::SendCopy {
                 op: 0,
                 to: holder.clone(),
@@ -119,24 +126,24 @@
         actions
     }
 
-    pub(super) fn take_copied(
+    pub(super) fn handle_copied(
         &mut self,
         now: Millis,
         op: u64,
         holder: &EntryId,
         is_held: bool,
     ) -> Vec<ClaimAction> {
-        let is_awaited = self
-            .pending
+        let is_expected = self
+            .pending_grants
             .get(&op)
-            .is_some_and(|grant| grant.tried.contains(holder));
-        if !is_awaited {
+            .is_some_and(|grant| grant.tried_holders.contains(holder));
+        if !is_expected {
             return Vec::new();
         }
         if !is_held {
             return self.try_next_holder(now, op);
         }
-        let Some(grant) = self.pending.swap_remove(&op) else {
+        let Some(grant) = self.pending_grants.swap_remove(&op) else {
             return Vec::new();
         };
         vec![ClaimAction::Verdict {
@@ -146,24 +153,24 @@
     }
 
     pub(super) fn try_next_holder(&mut self, now: Millis, op: u64) -> Vec<ClaimAction> {
-        let Some(grant) = self.pending.get_mut(&op) else {
+        let Some(grant) = self.pending_grants.get_mut(&op) else {
             return Vec::new();
         };
-        if grant.untried.is_empty() {
-            let Some(grant) = self.pending.swap_remove(&op) else {
+        if grant.untried_holders.is_empty() {
+            let Some(grant) = self.pending_grants.swap_remove(&op) else {
                 return Vec::new();
             };
             self.drop_grant(grant.key, grant.serial);
-            return self.refuse(&grant);
+            return self.reject_grant(&grant);
         }
-        let next = grant.untried.remove(0);
-        grant.tried.push(next.clone());
-        grant.waiting_since = now;
-        let granted = (grant.key, grant.serial);
-        vec![self.copy_to(now, op, next, granted)]
+        let next_holder = grant.untried_holders.remove(0);
+        grant.tried_holders.push(next_holder.clone());
+        grant.copy_sent_at = now;
+        let grant_id = (grant.key, grant.serial);
+        vec![self.send_copy(now, op, next_holder, grant_id)]
     }
 
-    pub(super) fn take_finish(
+    pub(super) fn handle_finish(
         &mut self,
         now: Millis,
         key: ClaimKey,
@@ -173,37 +180,38 @@
         let Some(claim) = self.claims.get_mut(&key) else {
             return Vec::new();
         };
-        let is_open = claim.claimant == *claimant && !matches!(claim.phase, ClaimPhase::Done(_));
-        if !is_open {
+        let is_unfinished =
+            claim.claimant == *claimant && !matches!(claim.phase, ClaimPhase::Done(_));
+        if !is_unfinished {
             return Vec::new();
         }
-        let granted = (key, claim.serial);
+        let grant_id = (key, claim.serial);
         match outcome {
             FinishOutcome::Answered(answer) => {
                 claim.phase = ClaimPhase::Done(answer);
-                claim.forget_at = now + self.options.retention;
+                claim.expires_at = now + self.options.retention;
             }
-            FinishOutcome::Unknown => claim.phase = ClaimPhase::Lost,
+            FinishOutcome::Unknown => claim.phase = ClaimPhase::OutcomeUnknown,
             FinishOutcome::NotRun => {
                 self.claims.swap_remove(&key);
             }
         }
-        let mut actions = self.give_up_pending(granted.1);
-        let copies = co_holders(&self.map, &self.me, key.slot()).into_iter();
-        actions.extend(copies.map(|holder| self.copy_to(now, 0, holder, granted)));
+        let mut actions = self.cancel_pending_grant(grant_id.1);
+        let holders = copy_holders(&self.slot_map, &self.own_id, key.slot()).into_iter();
+        actions.extend(holders.map(|holder| self.send_copy(now, 0, holder, grant_id)));
         actions
     }
 
-    /// A grant that still waits for its copy is of no use to an claimant that has given up.
-    pub(super) fn give_up_pending(&mut self, serial: ClaimSerial) -> Vec<ClaimAction> {
-        let mut waiting = self.pending.iter();
-        let waiting = waiting.find(|(_, grant)| grant.serial == serial);
-        let Some(op) = waiting.map(|(op, _)| *op) else {
+    /// Cancels a grant that still waits for its copy, as its claimant has given up.
+    pub(super) fn cancel_pending_grant(&mut self, serial: ClaimSerial) -> Vec<ClaimAction> {
+        let mut pending_grants = self.pending_grants.iter();
+        let pending_grant = pending_grants.find(|(_, grant)| grant.serial == serial);
+        let Some(op) = pending_grant.map(|(op, _)| *op) else {
             return Vec::new();
         };
-        let given_up = self.pending.swap_remove(&op);
+        let cancelled_grant = self.pending_grants.swap_remove(&op);
         let verdict = Verdict::Unavailable;
-        given_up
+        cancelled_grant
             .map(|grant| ClaimAction::Verdict {
                 call_id: grant.call_id,
                 verdict,
--- a/crates/claims/src/takeover.rs
+++ b/crates/claims/src/takeover.rs
@@ -1,104 +1,109 @@
-//! How a slot's owner comes to know every claim that was ever granted in it.
+//! How the new owner of a slot learns every claim that was ever granted in it.
 //!
-//! A grant is known to the owner and to at least one more holder of the epoch it was made in. So
-//! a new owner asks every holder of every epoch since the settled one. Each answer also binds the
-//! answering holder to the new epoch: it takes no more copies from owners of older ones, so an
-//! old owner that does not know yet cannot grant any more. If one holder is gone, another still
-//! knows each claim; if two or more are gone, a claim may be forgotten, and the slot refuses keys
-//! for as long as they are kept.
+//! The owner and at least one more holder of the epoch know each grant. A new owner therefore asks
+//! every holder of every epoch since the settled one. By answering, a holder also commits to the
+//! new epoch: it accepts no more copies from owners of older epochs, so that an old owner that does
+//! not know of the change can no longer grant claims. If one holder is lost, another knows each
+//! claim. If two or more are lost, a claim may be lost with them, and the slot rejects new keys for
+//! as long as claims are retained.
 //!
-//! Before the epoch counts as settled, the owner has given what it collected to another holder of
-//! the new epoch. Otherwise its own loss would take the last copy with it.
+//! The epoch counts as settled only after the owner has copied the collected claims to another
+//! holder of the new epoch. Otherwise the loss of the owner would also lose the last copy.
 
 use bergamot_roster::{RosterRecord, SlotMap};
 use bergamot_types::prelude::*;
 use indexmap::{IndexMap, IndexSet};
 use serde::Serialize;
 
-/// Holders of a slot that may be gone without a claim being forgotten.
+/// Number of a slot's holders that can be lost without losing a claim.
 pub const TOLERATED_LOSSES: usize = 1;
 
-/// Where a slot's owner is in taking it over.
+/// Progress of a member in taking over a slot.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize)]
 pub enum SlotPhase {
-    /// Some other member owns it.
+    /// Another member owns the slot.
     NotOwned,
-    /// Owned; these holders have not told what they know yet.
+    /// Owned; these holders have yet to report their claims.
     Collecting(IndexSet<EntryId>),
-    /// Owned, but claims may have been forgotten; keys are refused until then.
-    Forgetful(Millis),
+    /// Owned, but claims may have been lost; unknown keys are rejected until this time.
+    #[serde(rename = "Forgetful")]
+    Incomplete(Millis),
     /// Owned, and every claim is known, but none of these holders of the epoch has copies yet.
     Replicating(IndexSet<EntryId>),
-    /// Owned, every claim is known and has a copy.
+    /// Owned; every claim is known and has a copy.
     Ready,
 }
 
 /// The members that may know claims of each slot, over all open epochs.
 #[derive(Clone, Debug, Default)]
 pub struct HolderHistory {
-    maps: Vec<SlotMap>,
+    slot_maps: Vec<SlotMap>,
 }
 
 impl HolderHistory {
-    /// Works out the holders of every open epoch of a record.
+    /// Computes the holders of every open epoch of a roster.
     ///
-    /// Costs one [`SlotMap::at_epoch`] for each distinct set of members.
-    pub fn of(record: &RosterRecord) -> Self {
-        let mut seen: IndexMap<Vec<(EntryId, u64)>, SlotMap> = IndexMap::new();
-        for epoch in record.open_epochs() {
-            let members = record
+    /// Calls [`SlotMap::at_epoch`] once for each distinct set of members.
+    pub fn from_roster(roster: &RosterRecord) -> Self {
+        let mut distinct_maps: IndexMap<Vec<(EntryId, u64)>, SlotMap> = IndexMap::new();
+        for epoch in roster.open_epochs() {
+            let members = roster
                 .members_at(epoch)
                 .into_iter()
                 .map(|member| (member.entry.clone(), member.incarnation))
                 .collect();
-            seen.entry(members)
-                .or_insert_with(|| SlotMap::at_epoch(record, epoch));
+            distinct_maps
+                .entry(members)
+                .or_insert_with(|| SlotMap::at_epoch(roster, epoch));
         }
-        let maps = seen.into_values().collect();
-        Self { maps }
+        let slot_maps = distinct_maps.into_values().collect();
+        Self { slot_maps }
     }
 
-    /// Everyone who held the slot in an open epoch.
+    /// Returns every member that held the slot in an open epoch.
     pub fn holders(&self, slot: u16) -> IndexSet<EntryId> {
-        self.maps
+        self.slot_maps
             .iter()
-            .flat_map(|map| map.holders(slot))
+            .flat_map(|slot_map| slot_map.holders(slot))
             .cloned()
             .collect()
     }
 }
 
-/// The members that a slot's owner copies its claims to, in order.
-pub fn co_holders(map: &SlotMap, me: &EntryId, slot: u16) -> IndexSet<EntryId> {
-    let holders = map.holders(slot).iter();
-    holders.filter(|holder| *holder != me).cloned().collect()
+/// Returns the members to which a slot's owner copies its claims, in order of preference.
+pub fn copy_holders(slot_map: &SlotMap, own_id: &EntryId, slot: u16) -> IndexSet<EntryId> {
+    let holders = slot_map.holders(slot).iter();
+    holders
+        .filter(|holder| *holder != own_id)
+        .cloned()
+        .collect()
 }
 
-/// What a new owner has to do for a slot at the start of an epoch.
-pub fn begin(
-    record: &RosterRecord,
+/// Returns the phase in which a new owner starts to take over a slot.
+pub fn initial_phase(
+    roster: &RosterRecord,
     history: &HolderHistory,
-    me: &EntryId,
+    own_id: &EntryId,
     slot: u16,
-    forget_until: Millis,
+    incomplete_until: Millis,
 ) -> SlotPhase {
     let holders = history.holders(slot);
-    let is_gone = |entry: &EntryId| {
-        let departed = record.departed.iter();
+    let is_lost = |entry: &EntryId| {
+        let departed = roster.departed.iter();
         departed
             .filter(|departed| departed.member.entry == *entry)
-            .any(|departed| departed.left > record.settled)
+            .any(|departed| departed.left > roster.settled)
     };
-    let gone = holders.iter().filter(|entry| is_gone(entry)).count();
-    if gone > TOLERATED_LOSSES {
-        return SlotPhase::Forgetful(forget_until);
+    let lost_holders = holders.iter().filter(|entry| is_lost(entry)).count();
+    if lost_holders > TOLERATED_LOSSES {
+        return SlotPhase::Incomplete(incomplete_until);
     }
-    let ask: IndexSet<EntryId> = holders
+    let remaining_holders: IndexSet<EntryId> = holders
         .into_iter()
-        .filter(|entry| entry != me && record.member(entry).is_some())
+        .filter(|entry| entry != own_id && roster.member(entry).is_some())
         .collect();
-    match ask.is_empty() {
+    match remaining_holders.is_empty() {
         true => SlotPhase::Ready,
-        false => SlotPhase::Collecting(ask),
+        false => SlotPhase::Collecting(remaining_holders),
     }
 }
