--- a/crates/proof/tests/claims/actions.rs
+++ b/crates/proof/tests/claims/actions.rs
@@ -1,49 +1,52 @@
-//! What a node wants done, carried out.
+//! Executes the actions of a daemon's claims.
 
 use super::*;
 
-impl World {
-    pub(super) fn feed(&mut self, node: usize, event: ClaimEvent) {
+impl Simulation {
+    pub(super) fn handle_event(&mut self, daemon: usize, event: ClaimEvent) {
         let now = self.now;
-        let shown = self.is_traced.then(|| format!("{event:?}"));
-        let actions = self.nodes[node].state.handle(now, event);
-        if let Some(shown) = shown {
-            let incarnation = self.nodes[node].incarnation;
-            println!("{now} entry-{node}/{incarnation} <- {shown} -> {actions:?}");
+        let traced_event = self.is_traced.then(|| format!("{event:?}"));
+        let actions = self.daemons[daemon].state.handle(now, event);
+        if let Some(traced_event) = traced_event {
+            let incarnation = self.daemons[daemon].incarnation;
+            println!("{now} entry-{daemon}/{incarnation} <- {traced_event} -> {actions:?}");
         }
         for action in actions {
-            self.carry_out(node, action);
+            self.execute_action(daemon, action);
         }
     }
 
-    pub(super) fn ask(
+    /// Sends a request to another daemon, which answers to `reply_target`.
+    pub(super) fn send_request(
         &mut self,
         from: usize,
         to: &EntryId,
-        make: impl FnOnce(u64) -> ClaimEvent,
-        reply: Reply,
+        make_event: impl FnOnce(u64) -> ClaimEvent,
+        reply_target: ReplyTarget,
     ) {
-        let to = self.node_of(to);
-        let node = &mut self.nodes[to];
-        let call_id = node.next_ask;
-        node.next_ask += 1;
-        node.replies.insert(call_id, reply);
-        let incarnation = node.incarnation;
-        let event = make(call_id);
+        let to = self.daemon_of(to);
+        let daemon = &mut self.daemons[to];
+        let call_id = daemon.next_call_id;
+        daemon.next_call_id += 1;
+        daemon.reply_targets.insert(call_id, reply_target);
+        let incarnation = daemon.incarnation;
+        let event = make_event(call_id);
         self.send(
             from,
             to,
-            Message::Ask(from, to, incarnation, Asked::Event(event)),
+            Message::Request(from, to, incarnation, RequestPayload::Event(event)),
         );
     }
 
-    pub(super) fn carry_out(&mut self, node: usize, action: ClaimAction) {
-        let incarnation = self.nodes[node].incarnation;
+    pub(super) fn execute_action(&mut self, daemon: usize, action: ClaimAction) {
+        let incarnation = self.daemons[daemon].incarnation;
         match action {
             ClaimAction::Verdict { call_id, verdict } => {
-                if let Some(Reply::Verdict(to, inc, key, claimant)) = self.reply(node, call_id) {
-                    let message = Message::Verdict(to, inc, key, claimant, verdict);
-                    self.send(node, to, message);
+                if let Some(ReplyTarget::Verdict(to, to_incarnation, key, claimant)) =
+                    self.reply_target(daemon, call_id)
+                {
+                    let message = Message::Verdict(to, to_incarnation, key, claimant, verdict);
+                    self.send(daemon, to, message);
                 }
             }
             ClaimAction::SendCopy {
@@ -52,9 +55,9 @@
                 epoch,
                 change,
             } => {
-                let owner = entry(node);
-                self.ask(
-                    node,
+                let owner = entry(daemon);
+                self.send_request(
+                    daemon,
                     &to,
                     |call_id| ClaimEvent::Copy {
                         call_id,
@@ -62,17 +65,19 @@
                         owner,
                         change,
                     },
-                    Reply::Copy(node, incarnation, op),
+                    ReplyTarget::Copy(daemon, incarnation, op),
                 );
             }
             ClaimAction::AnswerCopy { call_id, is_held } => {
-                if let Some(Reply::Copy(to, inc, op)) = self.reply(node, call_id) {
+                if let Some(ReplyTarget::Copy(to, to_incarnation, op)) =
+                    self.reply_target(daemon, call_id)
+                {
                     let event = ClaimEvent::Copied {
                         op,
-                        holder: entry(node),
+                        holder: entry(daemon),
                         is_held,
                     };
-                    self.send(node, to, Message::Event(to, inc, event));
+                    self.send(daemon, to, Message::Event(to, to_incarnation, event));
                 }
             }
             ClaimAction::SendReplica {
@@ -80,70 +85,73 @@
                 epoch,
                 slots,
                 records,
-            } => self.ask(
-                node,
+            } => self.send_request(
+                daemon,
                 &to,
                 |call_id| ClaimEvent::Replica {
                     call_id,
                     epoch,
                     records,
                 },
-                Reply::Replica(node, incarnation, epoch, slots),
+                ReplyTarget::Replica(daemon, incarnation, epoch, slots),
             ),
             ClaimAction::AnswerReplica { call_id, is_held } => {
-                if let Some(Reply::Replica(to, inc, epoch, slots)) = self.reply(node, call_id)
+                if let Some(ReplyTarget::Replica(to, to_incarnation, epoch, slots)) =
+                    self.reply_target(daemon, call_id)
                     && is_held
                 {
                     let event = ClaimEvent::Replicated {
-                        holder: entry(node),
+                        holder: entry(daemon),
                         epoch,
                         slots,
                     };
-                    self.send(node, to, Message::Event(to, inc, event));
+                    self.send(daemon, to, Message::Event(to, to_incarnation, event));
                 }
             }
-            ClaimAction::SendCollect { to, epoch, slots } => self.ask(
-                node,
+            ClaimAction::SendCollect { to, epoch, slots } => self.send_request(
+                daemon,
                 &to,
                 |call_id| ClaimEvent::Collect {
                     call_id,
                     epoch,
                     slots: slots.clone(),
                 },
-                Reply::Collect(node, incarnation, epoch, slots.clone()),
+                ReplyTarget::Collect(daemon, incarnation, epoch, slots.clone()),
             ),
             ClaimAction::AnswerCollect { call_id, records } => {
-                if let (Some(Reply::Collect(to, inc, epoch, slots)), Some(records)) =
-                    (self.reply(node, call_id), records)
+                if let (
+                    Some(ReplyTarget::Collect(to, to_incarnation, epoch, slots)),
+                    Some(records),
+                ) = (self.reply_target(daemon, call_id), records)
                 {
                     let event = ClaimEvent::Collected {
-                        holder: entry(node),
+                        holder: entry(daemon),
                         epoch,
                         slots,
                         records,
                     };
-                    self.send(node, to, Message::Event(to, inc, event));
+                    self.send(daemon, to, Message::Event(to, to_incarnation, event));
                 }
             }
-            ClaimAction::Settled(epoch) => self.settle(node, incarnation, epoch),
+            ClaimAction::Settled(epoch) => self.settle(daemon, incarnation, epoch),
         }
     }
 
-    pub(super) fn reply(&mut self, node: usize, call_id: u64) -> Option<Reply> {
-        self.nodes[node].replies.get(&call_id).cloned()
+    pub(super) fn reply_target(&mut self, daemon: usize, call_id: u64) -> Option<ReplyTarget> {
+        self.daemons[daemon].reply_targets.get(&call_id).cloned()
     }
 
-    /// The roster's part: once every member has settled, older epochs are forgotten.
-    pub(super) fn settle(&mut self, node: usize, incarnation: u64, epoch: u64) {
-        self.settled.insert((node, incarnation), epoch);
-        let all = self.roster.members.iter().map(|member| {
-            let node = self.node_of(&member.entry);
-            let settled = self.settled.get(&(node, member.incarnation));
-            settled.copied().unwrap_or(0)
+    /// Stands in for the roster, which drops older epochs once every member has settled.
+    pub(super) fn settle(&mut self, daemon: usize, incarnation: u64, epoch: u64) {
+        self.settled_epochs.insert((daemon, incarnation), epoch);
+        let member_epochs = self.roster.members.iter().map(|member| {
+            let daemon = self.daemon_of(&member.entry);
+            let settled_epoch = self.settled_epochs.get(&(daemon, member.incarnation));
+            settled_epoch.copied().unwrap_or(0)
         });
-        let all = all.min().unwrap_or(0);
-        if all > self.roster.settled {
-            self.roster = self.roster.settled_at(all);
+        let fleet_epoch = member_epochs.min().unwrap_or(0);
+        if fleet_epoch > self.roster.settled {
+            self.roster = self.roster.settled_at(fleet_epoch);
             self.spread_roster();
         }
     }
--- a/crates/proof/tests/claims/main.rs
+++ b/crates/proof/tests/claims/main.rs
@@ -1,11 +1,12 @@
-//! At most once over all repeats of a caller: several instances of the real claims with delays,
-//! losses, doubled messages, lost owners, restarts, partitions and zombies.
+//! Checks that a claimed key runs at most once across all retries of its caller. Runs several
+//! instances of the real claims with delayed, lost and duplicated messages, lost owners, restarts,
+//! partitions, and paused VMs that resume with outdated state.
 
 mod actions;
 mod calls;
 #[path = "../support/mod.rs"]
 mod support;
-mod trouble;
+mod system_faults;
 
 use bergamot_claims::{
     ClaimAction, ClaimEvent, ClaimKey, ClaimOptions, ClaimRequest, ClaimState, Claimant,
@@ -19,85 +20,88 @@
 use rand::seq::IndexedRandom;
 use rand_chacha::ChaCha8Rng;
 use std::sync::Arc;
-use support::{Weather, Wire, expect_caught, random, seeds};
+use support::{EventQueue, NetworkOptions, expect_caught, random, seeds};
 
-const NODES: usize = 6;
-const KEYS: u128 = 12;
-const STEPS: usize = 4_000;
+const DAEMON_COUNT: usize = 6;
+const KEY_COUNT: u128 = 12;
+const MAX_MESSAGES: usize = 4_000;
 const GRANT: Millis = Millis(3_000);
 
 #[derive(Clone)]
 enum Message {
-    /// An event for one incarnation of a node.
+    /// An event for one incarnation of a daemon.
     Event(usize, u64, ClaimEvent),
-    /// A question of `from`, whose answer goes back.
-    Ask(usize, usize, u64, Asked),
-    /// Verdict for an attempt.
+    /// A request from the first daemon to an incarnation of the second, which sends an answer.
+    Request(usize, usize, u64, RequestPayload),
+    /// The verdict on an attempt.
     Verdict(usize, u64, ClaimKey, Claimant, Verdict),
     Tick(usize, u64),
     /// The request of a granted claim ends.
-    RunEnds(usize, u64, ClaimKey, Claimant),
-    Caller,
-    Chaos,
-    /// The platform notices that a node's old run is gone.
-    Noticed(usize, u64),
+    RequestEnds(usize, u64, ClaimKey, Claimant),
+    CallerRequest,
+    /// A fault is injected.
+    Fault,
+    /// The platform detects that an incarnation of a daemon crashed.
+    CrashDetected(usize, u64),
     Roster(usize),
 }
 
 #[derive(Clone)]
-enum Asked {
+enum RequestPayload {
     Claim(ClaimRequest),
     Event(ClaimEvent),
 }
 
-struct Node {
+struct Daemon {
     state: ClaimState,
     incarnation: u64,
     is_up: bool,
     paused_until: Millis,
     next_attempt: u64,
-    /// Who waits for the answer to which question.
-    replies: IndexMap<u64, Reply>,
-    next_ask: u64,
+    /// Recipients of answers, by the call id of the request. Also marks finished attempts:
+    /// attempt `n` has the key `u64::MAX - n`.
+    reply_targets: IndexMap<u64, ReplyTarget>,
+    next_call_id: u64,
 }
 
 #[derive(Clone)]
-enum Reply {
+enum ReplyTarget {
     Verdict(usize, u64, ClaimKey, Claimant),
     Copy(usize, u64, u64),
     Replica(usize, u64, u64, Vec<u16>),
     Collect(usize, u64, u64, Vec<u16>),
 }
 
-struct World {
+struct Simulation {
     now: Millis,
     random: ChaCha8Rng,
-    wire: Wire<Message>,
-    weather: Weather,
-    nodes: Vec<Node>,
+    queue: EventQueue<Message>,
+    network: NetworkOptions,
+    daemons: Vec<Daemon>,
     roster: RosterRecord,
-    settled: IndexMap<(usize, u64), u64>,
-    cut: Option<usize>,
-    /// Executions begun of each key.
-    started: IndexMap<ClaimKey, u32>,
-    granted: u32,
-    kept: u32,
-    unavailable: u32,
+    settled_epochs: IndexMap<(usize, u64), u64>,
+    /// The failure domain that cannot reach the others.
+    partitioned_domain: Option<usize>,
+    /// How often the request of each key started to run.
+    run_counts: IndexMap<ClaimKey, u32>,
+    granted_count: u32,
+    replayed_count: u32,
+    unavailable_count: u32,
     failure: Option<String>,
-    /// Whether every event is printed; `BERGAMOT_TRACE` asks for it.
+    /// Whether every event is printed, as requested by `BERGAMOT_TRACE`.
     is_traced: bool,
 }
 
-fn entry(node: usize) -> EntryId {
-    EntryId::from(format!("entry-{node}"))
+fn entry(daemon: usize) -> EntryId {
+    EntryId::from(format!("entry-{daemon}"))
 }
 
-fn member(node: usize, incarnation: u64) -> Member {
+fn member(daemon: usize, incarnation: u64) -> Member {
     Member {
-        entry: entry(node),
-        vm: VmId::from(format!("vm-{node}")),
+        entry: entry(daemon),
+        vm: VmId::from(format!("vm-{daemon}")),
         incarnation,
-        failure_domain: FailureDomain::from(format!("fd-{}", node % 3)),
+        failure_domain: FailureDomain::from(format!("fd-{}", daemon % 3)),
         peer_addr: ([127, 0, 0, 1], 1).into(),
         since: 0,
     }
@@ -112,179 +116,195 @@
     }
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let mut roster = RosterRecord::default();
-        for node in 0..NODES {
-            roster = roster.with_member(member(node, 1));
+        for daemon in 0..DAEMON_COUNT {
+            roster = roster.with_member(member(daemon, 1));
         }
         roster.settled = roster.epoch;
-        let nodes = (0..NODES)
-            .map(|node| Node {
-                state: ClaimState::new(entry(node), options()),
+        let daemons = (0..DAEMON_COUNT)
+            .map(|daemon| Daemon {
+                state: ClaimState::new(entry(daemon), options()),
                 incarnation: 1,
                 is_up: true,
                 paused_until: Millis::ZERO,
                 next_attempt: 1,
-                replies: IndexMap::new(),
-                next_ask: 1,
+                reply_targets: IndexMap::new(),
+                next_call_id: 1,
             })
             .collect();
-        let mut world = Self {
+        let mut simulation = Self {
             now: Millis(1_000),
             random: random(seed),
-            wire: Wire::new(),
-            weather: Weather {
-                loss: 0.05,
-                double: 0.05,
-                most_delay: 120,
+            queue: EventQueue::new(),
+            network: NetworkOptions {
+                loss_probability: 0.05,
+                duplicate_probability: 0.05,
+                max_delay_ms: 120,
             },
-            nodes,
+            daemons,
             roster,
-            settled: IndexMap::new(),
-            cut: None,
-            started: IndexMap::new(),
-            granted: 0,
-            kept: 0,
-            unavailable: 0,
+            settled_epochs: IndexMap::new(),
+            partitioned_domain: None,
+            run_counts: IndexMap::new(),
+            granted_count: 0,
+            replayed_count: 0,
+            unavailable_count: 0,
             failure: None,
             is_traced: std::env::var_os("BERGAMOT_TRACE").is_some(),
         };
-        for node in 0..NODES {
-            world.wire.at(Millis(1_000), Message::Roster(node));
-            world.wire.at(Millis(1_001), Message::Tick(node, 1));
+        for daemon in 0..DAEMON_COUNT {
+            simulation
+                .queue
+                .schedule(Millis(1_000), Message::Roster(daemon));
+            simulation
+                .queue
+                .schedule(Millis(1_001), Message::Tick(daemon, 1));
         }
-        world.wire.at(Millis(1_500), Message::Caller);
-        world.wire.at(Millis(3_000), Message::Chaos);
-        world
+        simulation
+            .queue
+            .schedule(Millis(1_500), Message::CallerRequest);
+        simulation.queue.schedule(Millis(3_000), Message::Fault);
+        simulation
     }
 
-    fn is_cut(&self, a: usize, b: usize) -> bool {
-        let side = |node: usize| self.cut == Some(node % 3);
-        side(a) != side(b)
+    fn is_partitioned(&self, a: usize, b: usize) -> bool {
+        let is_cut_off = |daemon: usize| self.partitioned_domain == Some(daemon % 3);
+        is_cut_off(a) != is_cut_off(b)
     }
 
-    fn node_of(&self, entry: &EntryId) -> usize {
-        let name = entry.as_str().trim_start_matches("entry-");
-        name.parse().expect("nodes are numbered")
+    fn daemon_of(&self, entry: &EntryId) -> usize {
+        let number = entry.as_str().trim_start_matches("entry-");
+        number.parse().expect("entry ids end with a number")
     }
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
-        if from != to && self.is_cut(from, to) {
+        if from != to && self.is_partitioned(from, to) {
             return;
         }
-        let weather = match from == to {
-            true => Weather {
-                loss: 0.0,
-                double: 0.0,
-                most_delay: 1,
+        let network = match from == to {
+            true => NetworkOptions {
+                loss_probability: 0.0,
+                duplicate_probability: 0.0,
+                max_delay_ms: 1,
             },
-            false => self.weather,
+            false => self.network,
         };
-        self.wire.send(self.now, &mut self.random, weather, message);
+        self.queue
+            .send(self.now, &mut self.random, network, message);
     }
 
     fn run(mut self) -> Result<(u32, u32, u32), String> {
-        for _ in 0..STEPS {
-            let Some((when, message)) = self.wire.next() else {
+        for _ in 0..MAX_MESSAGES {
+            let Some((due_at, message)) = self.queue.pop_next() else {
                 break;
             };
-            self.now = self.now.max(when);
-            self.step(message);
+            self.now = self.now.max(due_at);
+            self.handle_message(message);
             if let Some(failure) = self.failure.take() {
                 return Err(failure);
             }
         }
-        Ok((self.granted, self.kept, self.unavailable))
+        Ok((
+            self.granted_count,
+            self.replayed_count,
+            self.unavailable_count,
+        ))
     }
 
-    fn is_live(&self, node: usize, incarnation: u64) -> bool {
-        self.nodes[node].is_up && self.nodes[node].incarnation == incarnation
+    fn is_live(&self, daemon: usize, incarnation: u64) -> bool {
+        self.daemons[daemon].is_up && self.daemons[daemon].incarnation == incarnation
     }
 
-    fn step(&mut self, message: Message) {
-        if let Some(node) = self.paused(&message) {
-            let until = self.nodes[node].paused_until;
-            self.wire.at(until, message);
+    fn handle_message(&mut self, message: Message) {
+        if let Some(daemon) = self.paused_recipient(&message) {
+            let paused_until = self.daemons[daemon].paused_until;
+            self.queue.schedule(paused_until, message);
             return;
         }
         match message {
-            Message::Event(node, incarnation, event) => {
-                if self.is_live(node, incarnation) {
-                    self.feed(node, event);
+            Message::Event(daemon, incarnation, event) => {
+                if self.is_live(daemon, incarnation) {
+                    self.handle_event(daemon, event);
                 }
             }
-            Message::Ask(from, to, incarnation, asked) => {
-                self.take_ask(from, to, incarnation, asked);
+            Message::Request(from, to, incarnation, payload) => {
+                self.handle_request(from, to, incarnation, payload);
             }
-            Message::Verdict(node, incarnation, key, claimant, verdict) => {
-                self.take_verdict(node, incarnation, key, claimant, &verdict);
+            Message::Verdict(daemon, incarnation, key, claimant, verdict) => {
+                self.handle_verdict(daemon, incarnation, key, claimant, &verdict);
             }
-            Message::Tick(node, incarnation) => {
-                if self.is_live(node, incarnation) {
-                    self.feed(node, ClaimEvent::Tick);
-                    self.wire
-                        .at(self.now + Millis(100), Message::Tick(node, incarnation));
+            Message::Tick(daemon, incarnation) => {
+                if self.is_live(daemon, incarnation) {
+                    self.handle_event(daemon, ClaimEvent::Tick);
+                    self.queue
+                        .schedule(self.now + Millis(100), Message::Tick(daemon, incarnation));
                 }
             }
-            Message::RunEnds(node, incarnation, key, claimant) => {
-                if self.is_live(node, incarnation) {
+            Message::RequestEnds(daemon, incarnation, key, claimant) => {
+                if self.is_live(daemon, incarnation) {
                     let answer = Arc::new(StoredAnswer {
                         status: 200,
                         content_type: String::new(),
                         body: None,
                     });
-                    self.finish(node, key, claimant, FinishOutcome::Answered(answer));
+                    self.finish(daemon, key, claimant, FinishOutcome::Answered(answer));
                 }
             }
-            Message::Caller => self.call(),
-            Message::Chaos => self.chaos(),
-            Message::Noticed(node, incarnation) => self.notice(node, incarnation),
-            Message::Roster(node) => {
+            Message::CallerRequest => self.call(),
+            Message::Fault => self.inject_fault(),
+            Message::CrashDetected(daemon, incarnation) => self.restart(daemon, incarnation),
+            Message::Roster(daemon) => {
                 let event = ClaimEvent::Roster(self.roster.clone());
-                if self.nodes[node].is_up {
-                    self.feed(node, event);
+                if self.daemons[daemon].is_up {
+                    self.handle_event(daemon, event);
                 }
             }
         }
     }
 
-    fn paused(&self, message: &Message) -> Option<usize> {
-        let node = match message {
-            Message::Event(node, ..)
-            | Message::Tick(node, _)
-            | Message::Verdict(node, ..)
-            | Message::RunEnds(node, ..)
-            | Message::Roster(node)
-            | Message::Ask(_, node, ..) => *node,
-            Message::Caller | Message::Chaos | Message::Noticed(..) => return None,
+    /// Returns the daemon that would handle the message, if it is paused.
+    fn paused_recipient(&self, message: &Message) -> Option<usize> {
+        let daemon = match message {
+            Message::Event(daemon, ..)
+            | Message::Tick(daemon, _)
+            | Message::Verdict(daemon, ..)
+            | Message::RequestEnds(daemon, ..)
+            | Message::Roster(daemon)
+            | Message::Request(_, daemon, ..) => *daemon,
+            Message::CallerRequest | Message::Fault | Message::CrashDetected(..) => return None,
         };
-        (self.nodes[node].paused_until > self.now).then_some(node)
+        (self.daemons[daemon].paused_until > self.now).then_some(daemon)
     }
 }
 
 fn run(seed: u64) -> Result<(), String> {
-    World::new(seed).run().map(|_| ())
+    Simulation::new(seed).run().map(|_| ())
 }
 
 #[test]
 fn a_key_runs_at_most_once() {
     let mut totals = (0, 0, 0);
     let seeds = seeds(60);
-    let count = seeds.end - seeds.start;
+    let seed_count = seeds.end - seeds.start;
     for seed in seeds {
-        let (granted, kept, unavailable) = World::new(seed)
+        let (granted, replayed, unavailable) = Simulation::new(seed)
             .run()
             .unwrap_or_else(|failure| panic!("seed {seed}: {failure}"));
-        totals = (totals.0 + granted, totals.1 + kept, totals.2 + unavailable);
+        totals = (
+            totals.0 + granted,
+            totals.1 + replayed,
+            totals.2 + unavailable,
+        );
     }
     println!(
         "granted={} kept={} unavailable={}",
         totals.0, totals.1, totals.2
     );
     assert!(
-        totals.0 > 10 * count as u32 / 4,
-        "too little was granted: {totals:?}"
+        totals.0 > 10 * seed_count as u32 / 4,
+        "too few claims were granted: {totals:?}"
     );
     assert!(totals.1 > 0, "no answer was replayed: {totals:?}");
 }
--- a/crates/proof/tests/control/main.rs
+++ b/crates/proof/tests/control/main.rs
@@ -1,13 +1,14 @@
-//! Groups, evidence and bundles: several instances of the real control state with delayed, lost,
-//! doubled and reordered messages, pauses, zombies, partitions, outages of the key-value service,
-//! lost answers, restarts, leaving VMs and racing operators, all at once.
+//! Checks groups, evidence and bundles. Runs several instances of the real control state with
+//! delayed, lost, duplicated and reordered messages, pauses, outdated coordinators, partitions,
+//! outages of the key-value store, lost answers, restarts, leaving VMs and racing operators, all
+//! at the same time.
 
 mod actions;
-mod nodes;
+mod daemons;
 mod requests;
 #[path = "../support/mod.rs"]
 mod support;
-mod trouble;
+mod system_faults;
 
 use std::sync::Arc;
 
@@ -31,25 +32,26 @@
 use rand_chacha::ChaCha8Rng;
 use support::engines::{Engine, EngineFleet};
 use support::platform::Store;
-use support::{Weather, Wire, expect_caught, random, seeds};
+use support::{EventQueue, NetworkOptions, expect_caught, random, seeds};
 
-const NODES: usize = 4;
-const DOMAINS: usize = 2;
-const ENGINES: usize = 5;
-const SIZE: u32 = 2;
+const DAEMON_COUNT: usize = 4;
+const DOMAIN_COUNT: usize = 2;
+const ENGINES_PER_DOMAIN: usize = 5;
+const VMS_PER_REPLICA: u32 = 2;
 const REPLICAS: u32 = 4;
-const CHAOS_ENDS: Millis = Millis(90_000);
-const ENDS: Millis = Millis(210_000);
-const EVIDENCE_AGE: Millis = Millis(3_000);
-const LIST_LAG: Millis = Millis(1_500);
-/// From the platform's word that a VM leaves until nothing new may reach it.
+const FAULTS_END_AT: Millis = Millis(90_000);
+const RUN_ENDS_AT: Millis = Millis(210_000);
+const EVIDENCE_MAX_AGE: Millis = Millis(3_000);
+/// Time until a change of the VM list becomes visible to the daemons.
+const VM_LIST_LAG: Millis = Millis(1_500);
+/// Time from the platform listing a VM as leaving until no new request may reach it.
 const LEAVING_GRACE: Millis = Millis(8_000);
 
 #[derive(Clone)]
 enum Message {
     Tick(usize, u64),
     Event(usize, u64, ControlEvent),
-    /// An engine is asked.
+    /// A daemon asks an engine for its report.
     Probe(usize, u64, VmId),
     Order(usize, u64, VmId, VmOrder),
     Read(usize, u64, String, Millis),
@@ -63,57 +65,61 @@
     /// A request arrives at a leader.
     Arrive(usize, VmId, Millis),
     Complete((GroupId, u32)),
-    /// A group is asked before a request is sent to it: when, and of whom.
+    /// The members of a group answer a probe that was sent at this time, before a request is sent.
     Probed(usize, u64, UpstreamId, Vec<VmId>, Millis),
-    Chaos,
+    /// A fault is injected.
+    Fault,
     Operator,
     Revive(VmId),
 }
 
-struct Node {
+struct Daemon {
     state: ControlState,
     incarnation: u64,
     balancer: Balancer,
     view: Arc<RouteView>,
     paused_until: Millis,
+    /// Number of the adopted roll.
     roll: u64,
 }
 
-struct World {
+struct Simulation {
     now: Millis,
     random: ChaCha8Rng,
-    wire: Wire<Message>,
-    weather: Weather,
-    nodes: Vec<Node>,
+    queue: EventQueue<Message>,
+    network: NetworkOptions,
+    daemons: Vec<Daemon>,
     engines: EngineFleet,
     store: Store,
-    /// The list as it is, and as it is shown later.
-    listed: Vec<(Millis, Vec<VmFact>)>,
+    /// Versions of the VM list, with the time from which daemons read them.
+    vm_lists: Vec<(Millis, Vec<VmFact>)>,
+    /// VMs that are leaving, with the time at which daemons can read that.
     leaving: IndexMap<VmId, Millis>,
-    cut: Option<usize>,
+    /// The failure domain that cannot reach the platform. No domain can reach another meanwhile.
+    partitioned_domain: Option<usize>,
     digests: IndexMap<u64, BundleDigest>,
-    key: SignerKey,
-    version: u64,
-    served: u64,
-    refused: u64,
-    probed: u64,
-    max_age_seen: Millis,
-    last_disturbed: Millis,
+    operator_key: SignerKey,
+    bundle_version: u64,
+    served_count: u64,
+    refused_count: u64,
+    probed_count: u64,
+    max_evidence_age: Millis,
+    last_disturbed_at: Millis,
 }
 
 fn engine_addr(domain: usize, index: usize) -> std::net::SocketAddr {
     ([10, 0, domain as u8, index as u8], 80).into()
 }
 
-fn node_addr(node: usize) -> std::net::SocketAddr {
-    ([10, 1, 0, node as u8], 90).into()
+fn daemon_addr(daemon: usize) -> std::net::SocketAddr {
+    ([10, 1, 0, daemon as u8], 90).into()
 }
 
 fn engine_vm(domain: usize, index: usize) -> VmId {
     VmId::from(format!("vm-{domain}-{index}"))
 }
 
-fn placement() -> PlacementOptions {
+fn placement_options() -> PlacementOptions {
     PlacementOptions {
         flap_hold: Millis(4_000),
         surplus_hold: Millis(8_000),
@@ -122,7 +128,7 @@
     }
 }
 
-fn document(version: u64) -> BundleDocument {
+fn bundle_document(version: u64) -> BundleDocument {
     BundleDocument {
         version: version.to_string(),
         accounts: vec![AccountSpec {
@@ -134,10 +140,10 @@
         }],
         models: vec![ModelSpec {
             name: ModelName::new("m"),
-            // Every other roll replaces the groups.
+            // Every second roll changes the model version, which replaces the groups.
             version: (version / 2).to_string(),
             adapter: None,
-            vms_per_replica: SIZE,
+            vms_per_replica: VMS_PER_REPLICA,
             replicas: REPLICAS,
             priority: 1,
             accounts: Vec::new(),
@@ -146,143 +152,150 @@
     }
 }
 
-impl World {
-    fn is_calm(&self) -> bool {
-        self.now >= CHAOS_ENDS
+impl Simulation {
+    fn are_faults_over(&self) -> bool {
+        self.now >= FAULTS_END_AT
     }
 
-    /// Whether two failure domains are cut off from each other.
-    fn is_cut(&self, a: usize, b: usize) -> bool {
-        self.cut.is_some() && a % DOMAINS != b % DOMAINS
+    /// Whether the failure domains of two VMs cannot reach each other.
+    fn is_partitioned(&self, a: usize, b: usize) -> bool {
+        self.partitioned_domain.is_some() && a % DOMAIN_COUNT != b % DOMAIN_COUNT
     }
 
-    /// Whether a node is cut off from the platform.
-    fn is_off_platform(&self, node: usize) -> bool {
-        self.cut == Some(node % DOMAINS)
+    /// Whether a daemon cannot reach the platform.
+    fn is_cut_from_platform(&self, daemon: usize) -> bool {
+        self.partitioned_domain == Some(daemon % DOMAIN_COUNT)
     }
 
     fn run(mut self) -> Result<(u64, u64, u64), String> {
-        while self.now < ENDS {
-            let Some((when, message)) = self.wire.next() else {
+        while self.now < RUN_ENDS_AT {
+            let Some((due_at, message)) = self.queue.pop_next() else {
                 break;
             };
-            self.now = self.now.max(when);
-            self.step(message)?;
+            self.now = self.now.max(due_at);
+            self.handle_message(message)?;
             if let Some(failure) = self.engines.failures.pop() {
                 return Err(format!("at {}: {failure}", self.now));
             }
         }
-        self.check_end()?;
-        Ok((self.served, self.refused, self.probed))
+        self.check_recovery()?;
+        Ok((self.served_count, self.refused_count, self.probed_count))
     }
 
-    fn step(&mut self, message: Message) -> Result<(), String> {
-        if let Some(node) = paused_node(&message)
-            && self.nodes[node].paused_until > self.now
+    fn handle_message(&mut self, message: Message) -> Result<(), String> {
+        if let Some(daemon) = recipient(&message)
+            && self.daemons[daemon].paused_until > self.now
         {
-            let until = self.nodes[node].paused_until;
-            self.wire.at(until, message);
+            let paused_until = self.daemons[daemon].paused_until;
+            self.queue.schedule(paused_until, message);
             return Ok(());
         }
         match message {
-            Message::Tick(node, incarnation) => {
-                if self.is_live(node, incarnation) {
-                    self.feed(node, ControlEvent::Tick)?;
-                    let next = self.now + Millis(100);
-                    self.wire.at(next, Message::Tick(node, incarnation));
+            Message::Tick(daemon, incarnation) => {
+                if self.is_live(daemon, incarnation) {
+                    self.handle_event(daemon, ControlEvent::Tick)?;
+                    let next_tick_at = self.now + Millis(100);
+                    self.queue
+                        .schedule(next_tick_at, Message::Tick(daemon, incarnation));
                 }
             }
-            Message::Event(node, incarnation, event) => {
-                if self.is_live(node, incarnation) {
-                    self.feed(node, event)?;
+            Message::Event(daemon, incarnation, event) => {
+                if self.is_live(daemon, incarnation) {
+                    self.handle_event(daemon, event)?;
                 }
             }
-            Message::Probe(node, incarnation, vm) => self.probe(node, incarnation, vm),
-            Message::Order(node, incarnation, vm, order) => {
+            Message::Probe(daemon, incarnation, vm) => self.probe(daemon, incarnation, vm),
+            Message::Order(daemon, incarnation, vm, order) => {
                 let now = self.now;
-                self.engines.obey(now, &vm, &order);
+                self.engines.apply_order(now, &vm, &order);
                 let event = ControlEvent::Ordered { vm };
-                self.reply(node, incarnation, event);
+                self.reply(daemon, incarnation, event);
             }
-            Message::Read(node, incarnation, key, started) => {
-                self.read(node, incarnation, key, started);
+            Message::Read(daemon, incarnation, key, started_at) => {
+                self.read(daemon, incarnation, key, started_at);
             }
-            Message::Swap(node, incarnation, key, expected, value, nonce) => {
-                self.swap(node, incarnation, &key, expected, &value, nonce)?;
+            Message::Swap(daemon, incarnation, key, expected, value, nonce) => {
+                self.swap(daemon, incarnation, &key, expected, &value, nonce)?;
             }
-            Message::AskRoll(node, incarnation, peer, newer_than) => {
-                let force = self.nodes[peer].state.force().cloned();
-                if let Some(force) = force.filter(|force| force.record.number > newer_than) {
-                    let roll = Box::new((force.record.clone(), force.signed.clone()));
-                    self.reply(node, incarnation, ControlEvent::PeerRoll(roll));
+            Message::AskRoll(daemon, incarnation, peer, newer_than) => {
+                let active_roll = self.daemons[peer].state.force().cloned();
+                if let Some(active_roll) =
+                    active_roll.filter(|active_roll| active_roll.record.number > newer_than)
+                {
+                    let roll = Box::new((active_roll.record.clone(), active_roll.signed.clone()));
+                    self.reply(daemon, incarnation, ControlEvent::PeerRoll(roll));
                 }
             }
-            Message::AskRoster(node, incarnation, peer) => {
-                let record = self.nodes[peer].state.roster().record().clone();
-                self.reply(node, incarnation, ControlEvent::PeerRoster(record));
+            Message::AskRoster(daemon, incarnation, peer) => {
+                let record = self.daemons[peer].state.roster().record().clone();
+                self.reply(daemon, incarnation, ControlEvent::PeerRoster(record));
             }
-            Message::AskGroups(node, incarnation, peer) => {
-                let entries: Vec<GroupsEntry> = self.nodes[peer].state.group_entries();
-                self.reply(node, incarnation, ControlEvent::PeerGroups(entries));
+            Message::AskGroups(daemon, incarnation, peer) => {
+                let entries: Vec<GroupsEntry> = self.daemons[peer].state.group_entries();
+                self.reply(daemon, incarnation, ControlEvent::PeerGroups(entries));
             }
-            Message::Sync(node, incarnation) => self.sync(node, incarnation),
-            Message::ListRead(node, incarnation) => self.list(node, incarnation),
+            Message::Sync(daemon, incarnation) => self.sync(daemon, incarnation),
+            Message::ListRead(daemon, incarnation) => self.read_vm_list(daemon, incarnation),
             Message::Request => self.request(),
-            Message::Arrive(node, vm, sent) => self.arrive(node, &vm, sent)?,
+            Message::Arrive(daemon, vm, sent_at) => self.arrive(daemon, &vm, sent_at)?,
             Message::Complete(key) => self.engines.complete(&key),
-            Message::Probed(node, incarnation, upstream, members, asked) => {
-                self.take_probed(node, incarnation, &upstream, &members, asked);
+            Message::Probed(daemon, incarnation, upstream, members, probed_at) => {
+                self.handle_probed(daemon, incarnation, &upstream, &members, probed_at);
             }
-            Message::Chaos => self.chaos(),
-            Message::Operator => self.operator(),
+            Message::Fault => self.inject_fault(),
+            Message::Operator => self.roll_bundles(),
             Message::Revive(vm) => self.revive(&vm),
         }
         Ok(())
     }
 
-    fn is_live(&self, node: usize, incarnation: u64) -> bool {
-        self.nodes[node].incarnation == incarnation
+    fn is_live(&self, daemon: usize, incarnation: u64) -> bool {
+        self.daemons[daemon].incarnation == incarnation
     }
 
-    fn feed(&mut self, node: usize, event: ControlEvent) -> Result<(), String> {
+    fn handle_event(&mut self, daemon: usize, event: ControlEvent) -> Result<(), String> {
         let now = self.now;
-        let actions = self.nodes[node].state.handle(now, event);
+        let actions = self.daemons[daemon].state.handle(now, event);
         for action in actions {
-            self.carry_out(node, action)?;
+            self.execute_action(daemon, action)?;
         }
         Ok(())
     }
 
-    /// An answer comes back, late.
-    fn reply(&mut self, node: usize, incarnation: u64, event: ControlEvent) {
-        let message = Message::Event(node, incarnation, event);
+    /// Sends an answer back to a daemon through the network.
+    fn reply(&mut self, daemon: usize, incarnation: u64, event: ControlEvent) {
+        let message = Message::Event(daemon, incarnation, event);
         self.send(message);
     }
 
     fn send(&mut self, message: Message) {
-        let weather = self.weather;
-        self.wire.send(self.now, &mut self.random, weather, message);
+        let network = self.network;
+        self.queue
+            .send(self.now, &mut self.random, network, message);
     }
 
-    fn node_at(&self, addr: std::net::SocketAddr) -> usize {
-        (0..NODES)
-            .find(|node| node_addr(*node) == addr)
-            .expect("every peer is a node")
+    fn daemon_at(&self, addr: std::net::SocketAddr) -> usize {
+        (0..DAEMON_COUNT)
+            .find(|daemon| daemon_addr(*daemon) == addr)
+            .expect("every peer address belongs to a daemon")
     }
 
     fn domain_of(&self, vm: &VmId) -> usize {
-        let name = vm.as_str().trim_start_matches("vm-");
-        name[..1].parse().expect("engines are numbered")
+        let numbers = vm.as_str().trim_start_matches("vm-");
+        numbers[..1]
+            .parse()
+            .expect("engine VM ids start with a domain number")
     }
 }
 
-fn paused_node(message: &Message) -> Option<usize> {
+/// Returns the daemon that handles the message, if the message waits while that daemon is paused.
+fn recipient(message: &Message) -> Option<usize> {
     match message {
-        Message::Tick(node, _)
-        | Message::Event(node, ..)
-        | Message::Sync(node, _)
-        | Message::ListRead(node, _)
-        | Message::Probed(node, ..) => Some(*node),
+        Message::Tick(daemon, _)
+        | Message::Event(daemon, ..)
+        | Message::Sync(daemon, _)
+        | Message::ListRead(daemon, _)
+        | Message::Probed(daemon, ..) => Some(*daemon),
         Message::AskRoll(_, _, peer, _)
         | Message::AskRoster(_, _, peer)
         | Message::AskGroups(_, _, peer) => Some(*peer),
@@ -291,14 +304,14 @@
 }
 
 fn run(seed: u64) -> Result<(), String> {
-    World::new(seed).run().map(|_| ())
+    Simulation::new(seed).run().map(|_| ())
 }
 
 #[test]
-fn the_promises_hold_and_the_fleet_recovers() {
+fn the_invariants_hold_and_the_fleet_recovers() {
     let mut totals = (0, 0, 0);
     for seed in seeds(12) {
-        let (served, refused, probed) = World::new(seed)
+        let (served, refused, probed) = Simulation::new(seed)
             .run()
             .unwrap_or_else(|failure| panic!("seed {seed}: {failure}"));
         totals = (totals.0 + served, totals.1 + refused, totals.2 + probed);
@@ -309,7 +322,7 @@
     );
     assert!(
         totals.0 > totals.1,
-        "more was refused than served: {totals:?}"
+        "more requests were refused than served: {totals:?}"
     );
 }
 
@@ -335,7 +348,7 @@
         MutationCase {
             mutation: Mutation::KeepLeavingGroup,
             seeds: 400,
-            expected: "which leaves",
+            expected: "which has been leaving since",
         },
         MutationCase {
             mutation: Mutation::ReleaseWithoutDrain,
--- a/crates/proof/tests/control/requests.rs
+++ b/crates/proof/tests/control/requests.rs
@@ -1,111 +1,121 @@
-//! Requests that are routed and arrive.
+//! Routes requests and delivers them to leaders.
 
 use super::*;
 
-impl World {
+impl Simulation {
     pub(super) fn request(&mut self) {
-        let wait = self.random.random_range(10..120);
-        self.wire.at(self.now + Millis(wait), Message::Request);
-        let node = self.random.random_range(0..NODES);
-        if self.nodes[node].paused_until > self.now {
+        let wait_ms = self.random.random_range(10..120);
+        self.queue
+            .schedule(self.now + Millis(wait_ms), Message::Request);
+        let daemon = self.random.random_range(0..DAEMON_COUNT);
+        if self.daemons[daemon].paused_until > self.now {
             return;
         }
-        self.dispatch(node, self.random.clone().random());
+        self.dispatch(daemon, self.random.clone().random());
         let _: u64 = self.random.random();
     }
 
-    pub(super) fn dispatch(&mut self, node: usize, prefix: u64) {
+    pub(super) fn dispatch(&mut self, daemon: usize, prefix: u64) {
         let now = self.now;
         let account = ClientAccount::new("a");
-        let home = FailureDomain::from(format!("fd-{}", node % DOMAINS));
+        let home = FailureDomain::from(format!("fd-{}", daemon % DOMAIN_COUNT));
         let request = PickRequest {
             account: &account,
             prefix,
             home: &home,
             tried: &[],
         };
-        match self.nodes[node].balancer.pick(now, &request) {
-            Choice::None => self.refused += 1,
+        match self.daemons[daemon].balancer.pick(now, &request) {
+            Choice::None => self.refused_count += 1,
             Choice::Upstream(fact) => {
-                self.max_age_seen = self.max_age_seen.max(now.since(fact.evidence_at));
-                let leader = self.nodes[node].view.groups[&fact.id].members[0].0.clone();
-                if !self.is_cut(node, self.domain_of(&leader)) {
-                    let sent = self.now;
-                    self.send(Message::Arrive(node, leader, sent));
+                self.max_evidence_age = self.max_evidence_age.max(now.since(fact.evidence_at));
+                let leader = self.daemons[daemon].view.groups[&fact.id].members[0]
+                    .0
+                    .clone();
+                if !self.is_partitioned(daemon, self.domain_of(&leader)) {
+                    let sent_at = self.now;
+                    self.send(Message::Arrive(daemon, leader, sent_at));
                 }
             }
             Choice::Probe(fact) => {
-                self.probed += 1;
-                let members = &self.nodes[node].view.groups[&fact.id].members;
-                let members = members.iter().map(|(vm, _)| vm.clone()).collect();
-                let incarnation = self.nodes[node].incarnation;
-                let message = Message::Probed(node, incarnation, fact.id, members, now);
-                self.wire.at(now + Millis(20), message);
+                self.probed_count += 1;
+                let members = &self.daemons[daemon].view.groups[&fact.id].members;
+                let member_vms = members.iter().map(|(vm, _)| vm.clone()).collect();
+                let incarnation = self.daemons[daemon].incarnation;
+                let message = Message::Probed(daemon, incarnation, fact.id, member_vms, now);
+                self.queue.schedule(now + Millis(20), message);
             }
         }
     }
 
-    pub(super) fn take_probed(
+    pub(super) fn handle_probed(
         &mut self,
-        node: usize,
+        daemon: usize,
         incarnation: u64,
         upstream: &UpstreamId,
         members: &[VmId],
-        asked: Millis,
+        probed_at: Millis,
     ) {
-        if !self.is_live(node, incarnation) {
+        if !self.is_live(daemon, incarnation) {
             return;
         }
-        let Some(route) = self.nodes[node].view.groups.get(upstream).cloned() else {
+        let Some(route) = self.daemons[daemon].view.groups.get(upstream).cloned() else {
             return;
         };
         let epoch = route.group.epoch;
-        let is_whole = members.iter().all(|vm| {
-            let is_reached = !self.is_cut(node, self.domain_of(vm));
-            let report = self.engines.report(asked, vm);
-            is_reached && report.is_some_and(|report| report.is_ready_in(&route.id, epoch))
+        let is_complete = members.iter().all(|vm| {
+            let is_reachable = !self.is_partitioned(daemon, self.domain_of(vm));
+            let report = self.engines.report(probed_at, vm);
+            is_reachable && report.is_some_and(|report| report.is_ready_in(&route.id, epoch))
         });
-        if is_whole {
-            self.nodes[node]
+        if is_complete {
+            self.daemons[daemon]
                 .balancer
-                .note_evidence(upstream, epoch, asked);
+                .note_evidence(upstream, epoch, probed_at);
         }
     }
 
-    pub(super) fn arrive(&mut self, node: usize, vm: &VmId, sent: Millis) -> Result<(), String> {
-        // A VM that is cut off from the list cannot know.
-        if let Some(since) = self.leaving.get(vm)
-            && !self.is_off_platform(node)
-            && sent.since(*since) > LEAVING_GRACE
-            && sent.since(self.last_disturbed) > LEAVING_GRACE
+    pub(super) fn arrive(
+        &mut self,
+        daemon: usize,
+        vm: &VmId,
+        sent_at: Millis,
+    ) -> Result<(), String> {
+        // A daemon that cannot read the VM list does not know that the VM is leaving.
+        if let Some(leaving_since) = self.leaving.get(vm)
+            && !self.is_cut_from_platform(daemon)
+            && sent_at.since(*leaving_since) > LEAVING_GRACE
+            && sent_at.since(self.last_disturbed_at) > LEAVING_GRACE
         {
             return Err(format!(
-                "entry-{node} sent to {vm}, which leaves since {since}"
+                "entry-{daemon} sent to {vm}, which has been leaving since {leaving_since}"
             ));
         }
         let now = self.now;
         match self.engines.accept(now, vm) {
-            None => self.refused += 1,
+            None => self.refused_count += 1,
             Some(key) => {
-                self.served += 1;
-                let takes = self.random.random_range(50..3_000);
-                self.wire.at(now + Millis(takes), Message::Complete(key));
+                self.served_count += 1;
+                let duration_ms = self.random.random_range(50..3_000);
+                self.queue
+                    .schedule(now + Millis(duration_ms), Message::Complete(key));
             }
         }
         Ok(())
     }
 
-    pub(super) fn any_engine(&mut self) -> VmId {
-        let domain = self.random.random_range(0..DOMAINS);
-        engine_vm(domain, self.random.random_range(0..ENGINES))
+    pub(super) fn random_engine(&mut self) -> VmId {
+        let domain = self.random.random_range(0..DOMAIN_COUNT);
+        engine_vm(domain, self.random.random_range(0..ENGINES_PER_DOMAIN))
     }
 
-    pub(super) fn change_list(&mut self, change: impl FnOnce(&mut Vec<VmFact>)) {
+    /// Changes the VM list. Daemons read the new version after `VM_LIST_LAG`.
+    pub(super) fn change_vm_list(&mut self, change: impl FnOnce(&mut Vec<VmFact>)) {
         let mut vms = self
-            .listed
+            .vm_lists
             .last()
             .map_or_else(Vec::new, |(_, vms)| vms.clone());
         change(&mut vms);
-        self.listed.push((self.now + LIST_LAG, vms));
+        self.vm_lists.push((self.now + VM_LIST_LAG, vms));
     }
 }
--- a/crates/proof/tests/requests.rs
+++ b/crates/proof/tests/requests.rs
@@ -1,5 +1,6 @@
-//! Single requests and limits: whole answers over broken streams, at most one run, truthful
-//! refusals, and shares that never sum to more than the limit.
+//! Checks single requests and limits: a resumed stream delivers every token once, a non-idempotent
+//! request runs at most once, a request that is reported as not run did not run, and the shares of
+//! a limit never sum to more than the limit.
 
 mod support;
 
@@ -12,26 +13,26 @@
 use bergamot_types::mutate::Mutation;
 use bergamot_types::prelude::*;
 use rand::Rng;
-use support::{Weather, Wire, expect_caught, random, seeds};
+use support::{EventQueue, NetworkOptions, expect_caught, random, seeds};
 
-/// A stream of a known length goes on over upstreams that break, repeat and skip.
-fn stream(seed: u64) -> Result<(), String> {
+/// Resumes a stream of known length at upstreams that break off, repeat tokens and skip tokens.
+fn check_stream(seed: u64) -> Result<(), String> {
     let mut random = random(seed);
     let length: u64 = random.random_range(1..60);
     let mut resume = StreamResume::default();
-    let mut caller: Vec<u64> = Vec::new();
+    let mut delivered: Vec<u64> = Vec::new();
     for _ in 0..200 {
-        // An upstream may begin before the offset it was asked for, or lose a token.
-        let back: u64 = random.random_range(0..4);
-        let begin = resume.next_offset().saturating_sub(back);
-        let end = random.random_range(begin..=length);
+        // An upstream may start before the requested offset, or lose a token.
+        let overlap: u64 = random.random_range(0..4);
+        let start = resume.next_offset().saturating_sub(overlap);
+        let end = random.random_range(start..=length);
         let mut is_broken = end < length;
-        for offset in begin..end {
+        for offset in start..end {
             if random.random_bool(0.02) {
                 continue;
             }
             match resume.take(offset) {
-                TokenStep::Deliver => caller.push(offset),
+                TokenStep::Deliver => delivered.push(offset),
                 TokenStep::Skip => {}
                 TokenStep::Gap => {
                     is_broken = true;
@@ -40,58 +41,58 @@
             }
         }
         if !is_broken && resume.finish(length) {
-            let whole: Vec<u64> = (0..length).collect();
-            return match caller == whole {
+            let expected: Vec<u64> = (0..length).collect();
+            return match delivered == expected {
                 true => Ok(()),
-                false => Err(format!("the caller got {caller:?} of {length}")),
+                false => Err(format!("the caller got {delivered:?} of {length} tokens")),
             };
         }
         resume.resume();
     }
-    Err("the stream never ended".to_owned())
+    Err("the stream did not end after 200 attempts".to_owned())
 }
 
-/// A non-idempotent request meets upstreams that refuse, break, lose answers and answer.
-fn attempts(seed: u64) -> Result<(), String> {
+/// Sends a request to upstreams that refuse it, break off, lose the answer, or answer.
+fn check_attempts(seed: u64) -> Result<(), String> {
     let mut random = random(seed);
     let is_idempotent = random.random_bool(0.3);
-    let mut runs = 0;
-    let mut maybe_ran = false;
+    let mut run_count = 0;
+    let mut may_have_run = false;
     for number in 0..6 {
         let upstream = UpstreamId::from(format!("u{number}"));
         let attempt = Attempt::plan(upstream, is_idempotent).send();
-        let outcome = match random.random_range(0..4) {
+        let failure = match random.random_range(0..4) {
             0 => Some(SentOutcome::NeverConnected),
             1 => Some(SentOutcome::RefusedNotRun),
             2 => Some(SentOutcome::Broken),
             _ => None,
         };
-        let did_run = match outcome {
+        let did_run = match failure {
             Some(SentOutcome::Broken) => random.random_bool(0.7),
             Some(_) => false,
             None => true,
         };
-        runs += u32::from(did_run);
-        if runs > 1 && !is_idempotent {
-            return Err(format!("a non-idempotent request ran {runs} times"));
+        run_count += u32::from(did_run);
+        if run_count > 1 && !is_idempotent {
+            return Err(format!("a non-idempotent request ran {run_count} times"));
         }
-        let Some(outcome) = outcome else {
+        let Some(failure) = failure else {
             attempt.answered();
             return Ok(());
         };
-        maybe_ran |= outcome == SentOutcome::Broken;
-        if attempt.failed(outcome) == NextStep::OutcomeUnknown {
+        may_have_run |= failure == SentOutcome::Broken;
+        if attempt.failed(failure) == NextStep::OutcomeUnknown {
             return Ok(());
         }
     }
-    // Refused as not run, unless an attempt may have run.
-    match maybe_ran || runs == 0 {
+    // The request is reported as not run, unless an attempt may have run.
+    match may_have_run || run_count == 0 {
         true => Ok(()),
-        false => Err("refused as not run, but it ran".to_owned()),
+        false => Err("the request was reported as not run, but it ran".to_owned()),
     }
 }
 
-const MEMBERS: usize = 5;
+const MEMBER_COUNT: usize = 5;
 
 fn member(index: usize) -> Member {
     Member {
@@ -112,95 +113,101 @@
     Roster(usize, RosterRecord),
 }
 
-/// Members borrow from each other with clocks that differ, lost and doubled messages, pauses and
-/// a roster that grows. The sum of what all use is looked at after each step.
-fn shares(seed: u64) -> Result<f64, String> {
+/// Lets members borrow shares of a limit from each other, with differing clocks, lost and
+/// duplicated messages, pauses, and a roster that grows. Checks the sum of all shares in use after
+/// each step, and returns the largest sum.
+fn check_shares(seed: u64) -> Result<f64, String> {
     let mut random = random(seed);
     let account = ClientAccount::new("a");
-    let weather = Weather {
-        loss: 0.1,
-        double: 0.1,
-        most_delay: 800,
+    let network = NetworkOptions {
+        loss_probability: 0.1,
+        duplicate_probability: 0.1,
+        max_delay_ms: 800,
     };
     let mut roster = RosterRecord::default();
-    for index in 0..MEMBERS {
+    for index in 0..MEMBER_COUNT {
         roster = roster.with_member(member(index));
     }
     roster.settled = roster.epoch;
-    let mut shares: Vec<LimitShares> = (0..MEMBERS)
+    let mut shares: Vec<LimitShares> = (0..MEMBER_COUNT)
         .map(|_| LimitShares::new(ShareOptions::default()))
         .collect();
-    let mut paused = [Millis::ZERO; MEMBERS];
-    let offsets: Vec<u64> = (0..MEMBERS)
+    let mut paused_until = [Millis::ZERO; MEMBER_COUNT];
+    let clock_offsets: Vec<u64> = (0..MEMBER_COUNT)
         .map(|_| random.random_range(0..99_999))
         .collect();
-    let demand: Vec<f64> = (0..MEMBERS)
+    let demand: Vec<f64> = (0..MEMBER_COUNT)
         .map(|_| random.random_range(0.0..0.9))
         .collect();
-    let mut wire = Wire::new();
-    for index in 0..MEMBERS {
-        wire.at(Millis(1), Message::Roster(index, roster.clone()));
-        wire.at(Millis(2), Message::Tick(index));
+    let mut queue = EventQueue::new();
+    for index in 0..MEMBER_COUNT {
+        queue.schedule(Millis(1), Message::Roster(index, roster.clone()));
+        queue.schedule(Millis(2), Message::Tick(index));
     }
-    let mut most: f64 = 0.0;
-    let mut has_grown = false;
+    let mut max_sum: f64 = 0.0;
+    let mut has_roster_grown = false;
     for _ in 0..3_000 {
-        let Some((now, message)) = wire.next() else {
+        let Some((now, message)) = queue.pop_next() else {
             break;
         };
-        let local = |index: usize| now + Millis(offsets[index]);
+        let clock = |index: usize| now + Millis(clock_offsets[index]);
         if let Message::Tick(index) | Message::Borrow(_, index, ..) | Message::Lend(index, ..) =
             &message
-            && paused[*index] > now
+            && paused_until[*index] > now
         {
-            wire.at(paused[*index], message);
+            queue.schedule(paused_until[*index], message);
             continue;
         }
         match message {
             Message::Roster(index, record) => {
-                let me = EntryId::from(format!("entry-{index}"));
-                shares[index].set_roster(&record, &me);
+                let own_id = EntryId::from(format!("entry-{index}"));
+                shares[index].set_roster(&record, &own_id);
             }
             Message::Tick(index) => {
                 if random.random_bool(0.02) {
-                    paused[index] = now + Millis(random.random_range(100..7_000));
+                    paused_until[index] = now + Millis(random.random_range(100..7_000));
                 }
                 shares[index].note_demand(&account, demand[index]);
-                if let Some(wish) = shares[index].wish(local(index), &account, 1) {
-                    let lender = random.random_range(0..MEMBERS);
-                    let part = shares[index].ask(&wish, wish.wanted);
-                    let question = Message::Borrow(index, lender, local(index), part);
+                if let Some(wish) = shares[index].wish(clock(index), &account, 1) {
+                    let lender = random.random_range(0..MEMBER_COUNT);
+                    let borrow = shares[index].ask(&wish, wish.wanted);
+                    let request = Message::Borrow(index, lender, clock(index), borrow);
                     if lender != index {
-                        wire.send(now, &mut random, weather, question);
+                        queue.send(now, &mut random, network, request);
                     }
                 }
-                wire.at(now + Millis(100), Message::Tick(index));
-                if now > Millis(20_000) && !has_grown {
-                    has_grown = true;
-                    roster = roster.with_member(member(MEMBERS));
-                    for index in 0..MEMBERS {
-                        let when = now + Millis(random.random_range(1..4_000));
-                        wire.at(when, Message::Roster(index, roster.clone()));
+                queue.schedule(now + Millis(100), Message::Tick(index));
+                if now > Millis(20_000) && !has_roster_grown {
+                    has_roster_grown = true;
+                    roster = roster.with_member(member(MEMBER_COUNT));
+                    for index in 0..MEMBER_COUNT {
+                        let due_at = now + Millis(random.random_range(1..4_000));
+                        queue.schedule(due_at, Message::Roster(index, roster.clone()));
                     }
                 }
             }
-            Message::Borrow(from, to, asked, wish) => {
-                let lend = shares[to].lend(local(to), &wish, 1);
-                wire.send(now, &mut random, weather, Message::Lend(from, asked, lend));
+            Message::Borrow(from, to, sent_at, borrow) => {
+                let lend = shares[to].lend(clock(to), &borrow, 1);
+                queue.send(
+                    now,
+                    &mut random,
+                    network,
+                    Message::Lend(from, sent_at, lend),
+                );
             }
-            Message::Lend(to, asked, lend) => shares[to].take_lend(local(to), asked, &lend),
+            Message::Lend(to, sent_at, lend) => shares[to].take_lend(clock(to), sent_at, &lend),
         }
-        // A paused member uses nothing while it stands still.
-        let running = (0..MEMBERS).filter(|index| paused[*index] <= now);
+        // A paused member sends no requests, so its share is not in use.
+        let running = (0..MEMBER_COUNT).filter(|index| paused_until[*index] <= now);
         let sum: f64 = running
-            .map(|index| shares[index].share(local(index), &account))
+            .map(|index| shares[index].share(clock(index), &account))
             .sum();
-        most = most.max(sum);
+        max_sum = max_sum.max(sum);
         if sum > 1.0 + 1e-6 {
             return Err(format!("shares sum to {sum} at {now}"));
         }
     }
-    Ok(most)
+    Ok(max_sum)
 }
 
 struct RunCase {
@@ -210,22 +217,22 @@
 }
 
 #[test]
-fn every_seed_holds() {
+fn the_invariants_hold_for_every_seed() {
     let cases = [
         RunCase {
             name: "stream",
             seeds: 2_000,
-            run: stream,
+            run: check_stream,
         },
         RunCase {
             name: "attempts",
             seeds: 2_000,
-            run: attempts,
+            run: check_attempts,
         },
         RunCase {
             name: "shares",
             seeds: 100,
-            run: |seed| shares(seed).map(|_| ()),
+            run: |seed| check_shares(seed).map(|_| ()),
         },
     ];
     for case in cases {
@@ -238,15 +245,23 @@
 }
 
 #[test]
-fn shares_follow_demand() {
-    let most = shares(3).expect("the sum holds");
-    assert!(most > 0.9, "hardly any of the limit was usable: {most}");
+fn lending_makes_most_of_the_limit_usable() {
+    let max_sum = check_shares(3).expect("the shares sum to at most the limit");
+    assert!(
+        max_sum > 0.9,
+        "the shares in use never exceeded {max_sum} of the limit"
+    );
 }
 
 #[test]
 fn wrong_decisions_are_caught() {
-    let shares: fn(u64) -> Result<(), String> = |seed| shares(seed).map(|_| ());
-    expect_caught(Mutation::ResendTokens, 500, "the caller got", stream);
-    expect_caught(Mutation::ReportFailedAsNotRun, 500, "ran 2 times", attempts);
+    let shares: fn(u64) -> Result<(), String> = |seed| check_shares(seed).map(|_| ());
+    expect_caught(Mutation::ResendTokens, 500, "the caller got", check_stream);
+    expect_caught(
+        Mutation::ReportFailedAsNotRun,
+        500,
+        "ran 2 times",
+        check_attempts,
+    );
     expect_caught(Mutation::UseLentShare, 50, "shares sum to", shares);
 }
--- a/crates/proof/tests/support/engines.rs
+++ b/crates/proof/tests/support/engines.rs
@@ -1,11 +1,11 @@
-//! Engines as the randomised runs see them: they obey, or ignore fencing, load, die, pause and
-//! come back as if nothing had happened.
+//! Simulated engines: they apply orders, with or without fencing, load models, crash, pause, and
+//! resume with outdated state.
 
 use bergamot_placement::{EnginePhase, EngineReport, ModelRef, OrderKind, VmOrder};
 use bergamot_types::prelude::*;
 use indexmap::{IndexMap, IndexSet};
 
-/// One engine.
+/// A simulated engine.
 #[derive(Clone, Default)]
 pub struct Engine {
     pub report: EngineReport,
@@ -16,32 +16,33 @@
     pub loading_until: Option<Millis>,
 }
 
-/// All engines, with what they ever did together.
+/// All engines, with the history that the checks need.
 #[derive(Default)]
 pub struct EngineFleet {
     pub engines: IndexMap<VmId, Engine>,
-    /// Which VMs were ever ready in an epoch of a group.
+    /// The VMs that were ever ready in an epoch of a group.
     pub ready: IndexMap<(GroupId, u32), IndexSet<VmId>>,
-    /// Epochs in which a member died, paused or left: what ran there is gone.
+    /// Epochs in which a member crashed, paused or left, so that requests running there were lost.
     pub broken: IndexSet<(GroupId, u32)>,
     /// Requests in flight by group and epoch.
     pub in_flight: IndexMap<(GroupId, u32), u32>,
     pub failures: Vec<String>,
 }
 
-/// Longer than evidence counts, as loading weights is.
-const LOAD: Millis = Millis(4_000);
+/// Time to load a model. Exceeds the validity of evidence, as loading weights does.
+const LOAD_TIME: Millis = Millis(4_000);
 
 impl EngineFleet {
     /// Whether an engine answers now.
-    pub fn answers(&self, now: Millis, vm: &VmId) -> bool {
+    pub fn is_responsive(&self, now: Millis, vm: &VmId) -> bool {
         let engine = self.engines.get(vm);
         engine.is_some_and(|engine| !engine.is_dead && engine.paused_until <= now)
     }
 
+    /// Returns an engine's report, or `None` if it does not answer.
     pub fn report(&mut self, now: Millis, vm: &VmId) -> Option<EngineReport> {
         self.finish_loading(now, vm);
-        if !self.answers(now, vm) {
+        if !self.is_responsive(now, vm) {
             return None;
         }
         let running = self.running(vm);
@@ -74,7 +75,7 @@
         }
     }
 
-    /// The collective that an engine is part of is gone.
+    /// Marks the group epoch of an engine as broken and drops its requests in flight.
     pub fn break_group(&mut self, vm: &VmId) {
         let report = &self.engines[vm].report;
         if let Some(group) = report.group.clone() {
@@ -84,8 +85,9 @@
         }
     }
 
-    /// What was in flight when a member left on order was cut.
-    fn leave_group(&mut self, vm: &VmId, why: &str) {
+    /// Takes an engine out of its group on order. Fails the run if requests were in flight, as they
+    /// are cut.
+    fn leave_group(&mut self, vm: &VmId, cause: &str) {
         let report = &self.engines[vm].report;
         let Some(group) = report.group.clone() else {
             return;
@@ -94,40 +96,41 @@
         let running = self.in_flight.get(&key).copied().unwrap_or(0);
         if running > 0 && !self.broken.contains(&key) {
             self.failures.push(format!(
-                "{running} requests of {key:?} were cut by {why} of {vm}"
+                "{running} requests of {key:?} were cut by {cause} of {vm}"
             ));
         }
         self.in_flight.swap_remove(&key);
         self.broken.insert(key);
     }
 
-    pub fn obey(&mut self, now: Millis, vm: &VmId, order: &VmOrder) {
+    /// Applies an order to an engine.
+    pub fn apply_order(&mut self, now: Millis, vm: &VmId, order: &VmOrder) {
         self.finish_loading(now, vm);
-        if !self.answers(now, vm) {
+        if !self.is_responsive(now, vm) {
             return;
         }
         let engine = &self.engines[vm];
         if order.term < engine.report.term && !engine.ignores_fencing {
             return;
         }
-        let is_mine = engine.report.group == order.group;
+        let is_own_group = engine.report.group == order.group;
         let epoch = engine.report.epoch;
         match &order.kind {
             OrderKind::Join { model, members } => {
-                let is_elsewhere = engine.report.group.is_some() && !is_mine;
-                if is_elsewhere || (is_mine && order.epoch <= epoch) {
+                let is_in_other_group = engine.report.group.is_some() && !is_own_group;
+                if is_in_other_group || (is_own_group && order.epoch <= epoch) {
                     return;
                 }
                 self.leave_group(vm, "a join");
                 self.join(now, vm, order, model.clone(), members.clone());
             }
-            OrderKind::Drain if is_mine => {
+            OrderKind::Drain if is_own_group => {
                 let report = &mut self.engines[vm].report;
                 if report.phase == EnginePhase::Ready {
                     report.phase = EnginePhase::Draining;
                 }
             }
-            OrderKind::Leave if is_mine => {
+            OrderKind::Leave if is_own_group => {
                 self.leave_group(vm, "a leave");
                 let engine = &mut self.engines[vm];
                 let warm = std::mem::take(&mut engine.report.warm);
@@ -164,20 +167,21 @@
         engine.report.warm = vec![model.clone()];
         engine.report.model = Some(model);
         engine.report.phase = EnginePhase::Loading;
-        let load = if is_warm { Millis(200) } else { LOAD };
-        engine.loading_until = Some(now + load);
+        let load_time = if is_warm { Millis(200) } else { LOAD_TIME };
+        engine.loading_until = Some(now + load_time);
     }
 
-    /// A request arrives at a leader. True if it is being served.
+    /// Handles a request that arrives at a leader. Returns the group and epoch that serve it, or
+    /// `None` if it fails.
     pub fn accept(&mut self, now: Millis, vm: &VmId) -> Option<(GroupId, u32)> {
         self.finish_loading(now, vm);
-        if !self.answers(now, vm) {
+        if !self.is_responsive(now, vm) {
             return None;
         }
         let engine = &self.engines[vm];
         let is_serving = engine.report.phase == EnginePhase::Ready;
         let key = (engine.report.group.clone()?, engine.report.epoch);
-        // A collective that lost a member fails what it is given; that is seen and retried.
+        // A group that lost a member fails its requests. The entry VM detects that and retries.
         if !is_serving || engine.members.first() != Some(vm) || self.broken.contains(&key) {
             return None;
         }
@@ -185,11 +189,11 @@
         for member in &members {
             self.finish_loading(now, member);
         }
-        let ready = self.ready.get(&key);
-        let is_whole = members
+        let ready_vms = self.ready.get(&key);
+        let is_complete = members
             .iter()
-            .all(|member| ready.is_some_and(|ready| ready.contains(member)));
-        if !is_whole {
+            .all(|member| ready_vms.is_some_and(|ready_vms| ready_vms.contains(member)));
+        if !is_complete {
             self.failures.push(format!(
                 "{key:?} served before all of {members:?} were ready"
             ));
@@ -198,7 +202,7 @@
         Some(key)
     }
 
-    /// A request ends.
+    /// Counts the end of a request.
     pub fn complete(&mut self, key: &(GroupId, u32)) {
         if let Some(running) = self.in_flight.get_mut(key) {
             *running = running.saturating_sub(1);
--- a/crates/proof/tests/support/mod.rs
+++ b/crates/proof/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! What the randomised runs share: a network that delays, doubles, loses and cuts, and seeds.
+//! Parts shared by the randomised runs: a network that delays, duplicates and drops messages, and
+//! seeds.
 #![allow(dead_code)]
 
 pub mod engines;
@@ -11,75 +12,89 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// The seeds to run: a fixed number in CI, `BERGAMOT_RUNS` asks for more, `BERGAMOT_SEED` for one.
-pub fn seeds(default: u64) -> std::ops::Range<u64> {
-    let number = |name: &str| {
+/// Returns the seeds to run: `default_count` seeds, or `BERGAMOT_RUNS` seeds if set, or only the
+/// seed in `BERGAMOT_SEED`.
+pub fn seeds(default_count: u64) -> std::ops::Range<u64> {
+    let env_number = |name: &str| {
         let text = std::env::var(name).ok();
         text.and_then(|text| text.parse::<u64>().ok())
     };
-    match number("BERGAMOT_SEED") {
+    match env_number("BERGAMOT_SEED") {
         Some(seed) => seed..seed + 1,
-        None => 0..number("BERGAMOT_RUNS").unwrap_or(default),
+        None => 0..env_number("BERGAMOT_RUNS").unwrap_or(default_count),
     }
 }
 
-/// A seed's random numbers.
+/// Creates the random number generator of a seed.
 pub fn random(seed: u64) -> ChaCha8Rng {
     ChaCha8Rng::seed_from_u64(seed)
 }
 
-/// Messages on their way, by time of arrival.
-pub struct Wire<Message> {
-    queue: BTreeMap<(Millis, u64), Message>,
-    next: u64,
+/// Scheduled messages and timers, ordered by time.
+pub struct EventQueue<Message> {
+    messages: BTreeMap<(Millis, u64), Message>,
+    last_sequence: u64,
 }
 
-/// How unkind the network is.
+/// How the network drops, duplicates and delays messages.
 #[derive(Clone, Copy)]
-pub struct Weather {
-    pub loss: f64,
-    pub double: f64,
-    pub most_delay: u64,
+pub struct NetworkOptions {
+    pub loss_probability: f64,
+    pub duplicate_probability: f64,
+    pub max_delay_ms: u64,
 }
 
-impl<Message: Clone> Wire<Message> {
+impl<Message: Clone> EventQueue<Message> {
     pub fn new() -> Self {
         Self {
-            queue: BTreeMap::new(),
-            next: 0,
+            messages: BTreeMap::new(),
+            last_sequence: 0,
         }
     }
 
-    /// Sends through the weather: late, twice or not at all.
-    pub fn send(&mut self, now: Millis, random: &mut ChaCha8Rng, weather: Weather, m: Message) {
-        if random.random_bool(weather.loss) {
+    /// Sends a message through the network, which delays it and may drop or duplicate it.
+    pub fn send(
+        &mut self,
+        now: Millis,
+        random: &mut ChaCha8Rng,
+        network: NetworkOptions,
+        message: Message,
+    ) {
+        if random.random_bool(network.loss_probability) {
             return;
         }
-        if random.random_bool(weather.double) {
-            self.put(now, random, weather, m.clone());
+        if random.random_bool(network.duplicate_probability) {
+            self.send_delayed(now, random, network, message.clone());
         }
-        self.put(now, random, weather, m);
+        self.send_delayed(now, random, network, message);
     }
 
-    fn put(&mut self, now: Millis, random: &mut ChaCha8Rng, weather: Weather, message: Message) {
-        let delay = random.random_range(1..=weather.most_delay);
-        self.at(now + Millis(delay), message);
+    fn send_delayed(
+        &mut self,
+        now: Millis,
+        random: &mut ChaCha8Rng,
+        network: NetworkOptions,
+        message: Message,
+    ) {
+        let delay_ms = random.random_range(1..=network.max_delay_ms);
+        self.schedule(now + Millis(delay_ms), message);
     }
 
-    /// Puts a message down for a time, as a clock would.
-    pub fn at(&mut self, when: Millis, message: Message) {
-        self.next += 1;
-        self.queue.insert((when, self.next), message);
+    /// Schedules a message for a fixed time, as a timer does.
+    pub fn schedule(&mut self, due_at: Millis, message: Message) {
+        self.last_sequence += 1;
+        self.messages.insert((due_at, self.last_sequence), message);
     }
 
-    /// The next message, with its time.
-    pub fn next(&mut self) -> Option<(Millis, Message)> {
-        let ((when, _), message) = self.queue.pop_first()?;
-        Some((when, message))
+    /// Removes and returns the next message, with its time.
+    pub fn pop_next(&mut self) -> Option<(Millis, Message)> {
+        let ((due_at, _), message) = self.messages.pop_first()?;
+        Some((due_at, message))
     }
 }
 
-/// Runs seeds with a wrong decision until one fails with what is expected of it.
+/// Runs `check` with a deliberate fault on one seed after another, until a run fails with a message
+/// that contains `expected`. Panics if none does.
 pub fn expect_caught(
     mutation: Mutation,
     seeds: u64,
@@ -88,10 +103,10 @@
 ) {
     mutate::set(Some(mutation));
     let mut failures = (0..seeds).filter_map(|seed| check(seed).err());
-    let caught = failures.find(|failure| failure.contains(expected));
+    let expected_failure = failures.find(|failure| failure.contains(expected));
     mutate::set(None);
     assert!(
-        caught.is_some(),
-        "{mutation:?} was not caught as {expected:?} in {seeds} runs"
+        expected_failure.is_some(),
+        "no run of {seeds} seeds with {mutation:?} failed with {expected:?}"
     );
 }
--- a/crates/proof/tests/support/platform.rs
+++ b/crates/proof/tests/support/platform.rs
@@ -1,9 +1,9 @@
-//! The key-value service as the randomised runs see it.
+//! The platform's key-value store in the randomised runs.
 
 use bergamot_types::Millis;
 use indexmap::IndexMap;
 
-/// Keys with values and revisions.
+/// Values and their revisions by key.
 #[derive(Default)]
 pub struct Store {
     pub keys: IndexMap<String, (i64, Vec<u8>)>,
@@ -17,10 +17,11 @@
         self.down_until <= now
     }
 
-    /// Writes if the key is at `expected`; the revision if it was written.
+    /// Writes a value if the key is at revision `expected`, and returns the new revision, or `None`
+    /// if nothing was written.
     pub fn cas(&mut self, key: &str, expected: i64, value: Vec<u8>) -> Option<i64> {
-        let current = self.keys.get(key).map_or(0, |(revision, _)| *revision);
-        if current != expected {
+        let current_revision = self.keys.get(key).map_or(0, |(revision, _)| *revision);
+        if current_revision != expected {
             return None;
         }
         self.revision += 1;
