--- a/crates/entry/src/duty/claims.rs
+++ b/crates/entry/src/duty/claims.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bergamot_claims::{
-    ClaimAction, ClaimAsk, ClaimAsker, ClaimEvent, ClaimKey, ClaimState, FinishOutcome, Verdict,
+    ClaimAction, ClaimEvent, ClaimKey, ClaimRequest, ClaimState, Claimant, FinishOutcome, Verdict,
 };
 use bergamot_peer::{Answer, Question};
 use bergamot_types::prelude::*;
@@ -37,7 +37,7 @@
 struct EndedRequest {
     at: Millis,
     key: ClaimKey,
-    asker: ClaimAsker,
+    claimant: Claimant,
     outcome: FinishOutcome,
 }
 
@@ -85,8 +85,8 @@
 }
 
 impl ClaimsDuty {
-    fn asker(&self, attempt: u64) -> ClaimAsker {
-        ClaimAsker {
+    fn claimant(&self, attempt: u64) -> Claimant {
+        Claimant {
             entry: self.shared.settings.entry.clone(),
             incarnation: self.shared.incarnation,
             attempt,
@@ -137,7 +137,7 @@
     fn ask(
         &mut self,
         key: ClaimKey,
-        body: u64,
+        fingerprint: u64,
         grant: Millis,
         reply: oneshot::Sender<(u64, Verdict)>,
     ) {
@@ -148,18 +148,18 @@
             return;
         };
         let owner = owner.clone();
-        let asker = self.asker(attempt);
-        let mut question = ClaimAsk {
-            ask: 0,
+        let claimant = self.claimant(attempt);
+        let mut question = ClaimRequest {
+            call_id: 0,
             key,
-            body,
-            asker,
+            fingerprint,
+            claimant,
             epoch,
             grant,
         };
         if owner == self.shared.settings.entry {
-            question.ask = self.wait_for(Waiting::Local(attempt, reply));
-            self.feed(ClaimEvent::Ask(question));
+            question.call_id = self.wait_for(Waiting::Local(attempt, reply));
+            self.feed(ClaimEvent::Request(question));
             return;
         }
         let shared = Arc::clone(&self.shared);
@@ -187,27 +187,27 @@
         let again: Vec<_> = self
             .ended
             .iter()
-            .map(|ended| (ended.key, ended.asker.clone(), ended.outcome.clone()))
+            .map(|ended| (ended.key, ended.claimant.clone(), ended.outcome.clone()))
             .collect();
-        for (key, asker, outcome) in again {
+        for (key, claimant, outcome) in again {
             let note = self.shared.claim_note();
-            self.tell(key, asker, outcome, note);
+            self.tell(key, claimant, outcome, note);
         }
     }
 
     fn finish(&mut self, key: ClaimKey, attempt: u64, outcome: FinishOutcome, note: ClaimNote) {
-        let asker = self.asker(attempt);
+        let claimant = self.claimant(attempt);
         // The owner may be lost before it has passed this on; its successor is told again.
         self.ended.push_back(EndedRequest {
             at: self.shared.clock.now(),
             key,
-            asker: asker.clone(),
+            claimant: claimant.clone(),
             outcome: outcome.clone(),
         });
-        self.tell(key, asker, outcome, note);
+        self.tell(key, claimant, outcome, note);
     }
 
-    fn tell(&mut self, key: ClaimKey, asker: ClaimAsker, outcome: FinishOutcome, note: ClaimNote) {
+    fn tell(&mut self, key: ClaimKey, claimant: Claimant, outcome: FinishOutcome, note: ClaimNote) {
         let Some((owner, _)) = self.state.owner(key) else {
             return;
         };
@@ -215,7 +215,7 @@
         if owner == self.shared.settings.entry {
             self.feed(ClaimEvent::Finish {
                 key,
-                asker,
+                claimant,
                 outcome,
             });
             return;
@@ -224,7 +224,7 @@
         tokio::spawn(async move {
             let question = Question::Finish {
                 key,
-                asker,
+                claimant,
                 outcome,
             };
             tell_owner(&shared, &owner, question).await;
@@ -238,18 +238,21 @@
                 let _ = reply.send(Answer::Claim(Verdict::Unavailable));
             }
             Question::Claim(question) => {
-                let ask = self.wait_for(Waiting::Peer(reply));
-                self.feed(ClaimEvent::Ask(ClaimAsk { ask, ..question }));
+                let call_id = self.wait_for(Waiting::Peer(reply));
+                self.feed(ClaimEvent::Request(ClaimRequest {
+                    call_id,
+                    ..question
+                }));
             }
             Question::Finish {
                 key,
-                asker,
+                claimant,
                 outcome,
             } => {
                 let _ = reply.send(Answer::Noted);
                 self.feed(ClaimEvent::Finish {
                     key,
-                    asker,
+                    claimant,
                     outcome,
                 });
             }
@@ -258,25 +261,29 @@
                 owner,
                 change,
             } => {
-                let ask = self.wait_for(Waiting::Peer(reply));
+                let call_id = self.wait_for(Waiting::Peer(reply));
                 self.feed(ClaimEvent::Copy {
-                    ask,
+                    call_id,
                     epoch,
                     owner,
                     change,
                 });
             }
             Question::Replica { epoch, records } => {
-                let ask = self.wait_for(Waiting::Peer(reply));
+                let call_id = self.wait_for(Waiting::Peer(reply));
                 self.feed(ClaimEvent::Replica {
-                    ask,
+                    call_id,
                     epoch,
                     records,
                 });
             }
             Question::Collect { epoch, slots } => {
-                let ask = self.wait_for(Waiting::Peer(reply));
-                self.feed(ClaimEvent::Collect { ask, epoch, slots });
+                let call_id = self.wait_for(Waiting::Peer(reply));
+                self.feed(ClaimEvent::Collect {
+                    call_id,
+                    epoch,
+                    slots,
+                });
             }
             _ => {
                 let _ = reply.send(Answer::Refused);
@@ -299,7 +306,7 @@
 
     fn carry_out(&mut self, action: ClaimAction) {
         match action {
-            ClaimAction::Verdict { ask, verdict } => match self.waiting.swap_remove(&ask) {
+            ClaimAction::Verdict { call_id, verdict } => match self.waiting.swap_remove(&call_id) {
                 Some(Waiting::Local(attempt, reply)) => {
                     let _ = reply.send((attempt, verdict));
                 }
@@ -308,12 +315,12 @@
                 }
                 None => {}
             },
-            ClaimAction::AnswerCopy { ask, is_held }
-            | ClaimAction::AnswerReplica { ask, is_held } => {
-                self.answer(ask, Answer::Held(is_held));
+            ClaimAction::AnswerCopy { call_id, is_held }
+            | ClaimAction::AnswerReplica { call_id, is_held } => {
+                self.answer(call_id, Answer::Held(is_held));
             }
-            ClaimAction::AnswerCollect { ask, records } => {
-                self.answer(ask, Answer::Collected(records));
+            ClaimAction::AnswerCollect { call_id, records } => {
+                self.answer(call_id, Answer::Collected(records));
             }
             ClaimAction::SendCopy {
                 op,
--- a/crates/entry/src/duty/claims/owner.rs
+++ b/crates/entry/src/duty/claims/owner.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use bergamot_claims::{ClaimAsk, FinishOutcome, Verdict};
+use bergamot_claims::{ClaimRequest, FinishOutcome, Verdict};
 use bergamot_peer::{Answer, Question};
 use bergamot_types::prelude::*;
 
@@ -12,19 +12,19 @@
 pub(super) async fn ask_owner(
     shared: &Arc<SharedState>,
     owner: &EntryId,
-    question: ClaimAsk,
+    question: ClaimRequest,
 ) -> Verdict {
     let Some(addr) = shared.peer_addr(owner) else {
         return Verdict::Unavailable;
     };
-    let (key, asker) = (question.key, question.asker.clone());
+    let (key, claimant) = (question.key, question.claimant.clone());
     match shared.ask_peer(addr, Question::Claim(question)).await {
         Some(Answer::Claim(verdict)) => verdict,
         _ => {
             // The claim may have been granted all the same. It will not be used: say so.
             let undo = Question::Finish {
                 key,
-                asker,
+                claimant,
                 outcome: FinishOutcome::NotRun,
             };
             tokio::spawn({
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -2,7 +2,7 @@
 
 use bergamot_bundle::{RollRecord, SignedBundle};
 use bergamot_claims::{
-    ClaimAsk, ClaimAsker, ClaimKey, ClaimRecord, CopyChange, FinishOutcome, Verdict,
+    ClaimKey, ClaimRecord, ClaimRequest, Claimant, CopyChange, FinishOutcome, Verdict,
 };
 use bergamot_quarantine::QuarantineRecord;
 use bergamot_roster::RosterRecord;
@@ -13,13 +13,13 @@
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub enum Question {
     /// May this request run?
-    Claim(ClaimAsk),
+    Claim(ClaimRequest),
     /// This is what became of it.
     Finish {
         /// The key.
         key: ClaimKey,
         /// Who was granted it.
-        asker: ClaimAsker,
+        claimant: Claimant,
         /// What became of it.
         outcome: FinishOutcome,
     },
