--- a/crates/routing/src/choose.rs
+++ b/crates/routing/src/choose.rs
@@ -1,4 +1,4 @@
-//! Which upstream a request is sent to, by load and trouble of all of them.
+//! Selects the upstream for a request by the load and health of all candidates.
 
 use bergamot_occupancy::leader_key;
 use bergamot_types::prelude::*;
@@ -7,70 +7,77 @@
 use crate::reach::unreachable_domains;
 use crate::upstream::RouteUpstream;
 
-/// What a request to another failure domain counts, in requests: with equal load the near one.
+/// Penalty for an upstream in another failure domain, in requests. At equal load the near upstream
+/// is used.
 const REMOTE_PENALTY: f64 = 0.5;
 
-/// What a request that needs a new connection counts, in requests: less than one to another failure domain.
+/// Penalty for an upstream that needs a new connection, in requests. Lower than the penalty for
+/// another failure domain.
 const CONNECT_PENALTY: f64 = 0.4;
 
-/// Unread prompt tokens that count as much as one request in flight, in the choice among leaders.
+/// Number of unread prompt tokens that count as one request in flight when leaders are compared.
 const TOKENS_PER_REQUEST: f64 = 700.0;
 
-/// Part of the objective within which the first event must be expected. The rest is for the way, and for what
-/// others send meanwhile.
+/// Fraction of the objective within which the first event must be expected. The rest covers network
+/// latency and requests that other VMs send in the meantime.
 const IN_TIME_FRACTION: f64 = 0.75;
 
-/// Leaders of which the less busy one is taken. What is known of them is some 75 ms old; all that choose the least
-/// busy of all leaders meanwhile choose the same one. With two drawn ones 0.93 of a moderate load are in time,
-/// with the least busy of 40 leaders 0.28 (87 VMs, `experiment::serving`).
+/// Number of leaders sampled at random, of which the less loaded one is used. Load figures are
+/// about 75 ms old, so VMs that pick the least loaded of all leaders all pick the same one. At
+/// moderate load 0.93 of requests are in time with two samples, and 0.28 with the least loaded of
+/// 40 leaders (87 VMs, `experiment::serving`).
 const SAMPLED_LEADERS: usize = 2;
 
-/// The most a leader may have to do, as a part of its limit and of the objective, to be taken when the drawn ones
-/// are full: then it is no accident of a moment, and others may come at the same time.
+/// Highest load of a leader outside the sample that may be used when the sampled ones are full, as
+/// a fraction of its limit and of the objective. A leader below it is not just momentarily free,
+/// and has room if other VMs choose it at the same time.
 const LIGHT_LOAD_FRACTION: f64 = 0.6;
 
-/// What an upstream is chosen for.
+/// Requirements of a request for its upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct UpstreamCriteria<'a> {
-    /// Where this VM is.
+    /// The failure domain of this VM.
     pub home: &'a FailureDomain,
-    /// Upstreams that the request was sent to already.
+    /// Upstreams to which the request was already sent.
     pub tried: &'a [UpstreamIncarnation],
-    /// Upstreams to which a connection is open that nobody uses.
+    /// Upstreams to which an unused open connection exists.
     pub idle_connections: &'a [UpstreamIncarnation],
-    /// Whether it was begun elsewhere and needs no room: what it got so far would be lost with it.
+    /// Whether the request has begun at another upstream. Such a request bypasses limits, as
+    /// rejecting it would waste the work already done.
     pub has_begun_elsewhere: bool,
-    /// Tokens of its prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// The time within which its first event is in time.
+    /// Time within which the first event must arrive.
     pub objective: Millis,
-    /// Its rank; 0 is the most urgent.
+    /// Priority of the request; 0 is the most urgent.
     pub priority: u8,
-    /// A random number, for what is equal otherwise.
+    /// Random number that samples leaders and breaks ties.
     pub random: u64,
-    /// Its place among the upstreams, where it is to be kept apart from other requests: those with other places go to
-    /// other upstreams.
+    /// Set if the request must be isolated from others. Requests with different indexes go to
+    /// different upstreams.
     pub isolation_index: Option<u64>,
 }
 
-/// What a choice came to.
+/// Result of the selection.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum UpstreamChoice<'a> {
-    /// This one.
+    /// The upstream to use.
     Chosen(&'a RouteUpstream),
-    /// All that are left have as many requests as they bear.
+    /// All untried upstreams have as many requests as they can handle.
     Full,
-    /// None of those that are left takes requests now; the first one may at this moment, where that is known.
+    /// All untried upstreams are closed to requests. Carries the earliest time at which one may
+    /// open, if known.
     Closed(Option<Millis>),
-    /// None is left.
+    /// No untried upstream is left.
     None,
 }
 
 impl UpstreamMonitor {
-    /// Whether one more request may be sent.
+    /// Whether the upstream has room for one more request.
     fn has_room(&self, upstream: &RouteUpstream) -> bool {
         let load = self.load(&upstream.incarnation);
-        // Plain services have no first events to learn from; they turn away what is too much.
+        // Plain services have no first events to learn a limit from; they reject excess requests
+        // themselves.
         let initial_limit = match upstream.group {
             Some(_) => self.initial_limit(upstream.slots),
             None => f64::from(upstream.slots),
@@ -78,11 +85,13 @@
         f64::from(load.in_flight) + 1.0 <= load.limit(initial_limit)
     }
 
-    /// Whether a leader has a slot for one more request, whose first event can be expected in time.
+    /// Whether a leader has a free slot for one more request and its first event can be expected in
+    /// time.
     ///
-    /// Against limits that each VM learns by itself it gains 0.025 of the worth of days with trouble (8 VMs before
-    /// 57 upstreams; five days, five plays before and two after): 26 running requests are no bound on what waits
-    /// to be read, and where prompts are long a pass that reads several takes longer than the objective.
+    /// Compared with limits that each VM learns by itself, this adds 0.025 to the value of days
+    /// with faults (8 VMs, 57 upstreams; five days, with five runs before and two after). A limit
+    /// of 26 running requests does not bound the prompts waiting to be read, and with long prompts
+    /// a pass that reads several of them takes longer than the objective.
     fn is_in_time(
         &self,
         upstream: &RouteUpstream,
@@ -100,7 +109,7 @@
         f64::from(total_load.requests) + 1.0 <= limit && is_early
     }
 
-    /// Whether a leader has so little to do that others may send there at the same time.
+    /// Whether the load of a leader is so low that other VMs may send to it at the same time.
     fn is_lightly_loaded(
         &self,
         upstream: &RouteUpstream,
@@ -118,7 +127,7 @@
         f64::from(total_load.requests) <= limit * LIGHT_LOAD_FRACTION && is_early
     }
 
-    /// Those of `usable` that one more request may be sent to.
+    /// Returns the upstreams of `usable` that have room for one more request.
     fn with_room<'a, IsAvoided>(
         &self,
         mut usable: Vec<&'a RouteUpstream>,
@@ -137,20 +146,22 @@
             usable.retain(|upstream| self.has_room(upstream));
             return usable;
         }
-        // A leader that is silent or out of reach has little to do. While there are others it is left alone, also
-        // when they are full: 245 requests waited 0.15 to 0.45 s for connections to dark leaders in 4 s in which
-        // three of nine were dark.
+        // Stalled and unreachable leaders have little load. They are avoided while there are
+        // others, even full ones: in 4 s with three of nine leaders unreachable, 245 requests
+        // waited 0.15 to 0.45 s for connections to them.
         if !usable.iter().all(|upstream| is_avoided(upstream)) {
             usable.retain(|upstream| !is_avoided(upstream));
         }
-        // Those that a connection is open to come first: 195 VMs that drew among all of 40 leaders opened a new one for
-        // each third request, twice as many as now (five days with trouble, one play each).
+        // Leaders with an open connection come first. When 195 VMs sampled all of 40 leaders, every
+        // third request opened a new connection, twice as many as with this order (five days with
+        // faults, one run each).
         let has_idle_connection =
             |leader: &RouteUpstream| criteria.idle_connections.contains(&leader.incarnation);
         let sample_order =
             |leader: &RouteUpstream| rendezvous_score(criteria.random, leader.incarnation.as_str());
         usable.sort_by_cached_key(|leader| (!has_idle_connection(leader), sample_order(leader)));
-        // One of the two is near: what goes to other failure domains is paid for.
+        // One of the two sampled leaders is in this failure domain, as traffic between failure
+        // domains is billed.
         let near_index = usable
             .iter()
             .position(|upstream| upstream.failure_domain == *criteria.home);
@@ -176,7 +187,7 @@
         remaining
     }
 
-    /// How much a leader has to do, in requests.
+    /// Returns the load of an upstream, in requests.
     fn load_in_requests(&self, upstream: &RouteUpstream, now: Millis) -> f64 {
         if upstream.group.is_none() || !self.occupancy.is_remote_load_known(now) {
             return f64::from(self.load(&upstream.incarnation).in_flight);
@@ -186,8 +197,8 @@
             + f64::from(total_load.pending_prompt_tokens) / TOKENS_PER_REQUEST
     }
 
-    /// The least loaded upstream that was not tried and has room. Avoided ones are used when there
-    /// are no others.
+    /// Selects the least loaded untried upstream that has room. Avoided upstreams are used only if
+    /// there are no others.
     pub fn choose<'a>(
         &self,
         pool: &'a [RouteUpstream],
@@ -274,8 +285,8 @@
     }
 }
 
-/// The upstream at a place among all that are usable, or among the avoided ones where there are no others; the same one at
-/// all VMs that know of the same upstreams, whatever the load.
+/// Selects an upstream by index among all usable ones, or among the avoided ones if there are no
+/// others. All VMs that know the same upstreams select the same one, whatever the load.
 fn choose_isolated<'a, IsAvoided>(
     mut usable: Vec<&'a RouteUpstream>,
     is_avoided: &IsAvoided,
--- a/crates/routing/src/gate.rs
+++ b/crates/routing/src/gate.rs
@@ -1,22 +1,23 @@
-//! Whether an upstream takes requests now, as one entry VM knows it.
+//! Whether an upstream accepts requests now, as far as this entry VM knows.
 
 use bergamot_types::prelude::*;
 use indexmap::IndexMap;
 
-/// Time for which what an upstream said is kept after the directory last named it: one that was cut off from the directory
-/// comes back in the same run.
+/// How long state is kept after an upstream was last listed in the directory. An upstream that was
+/// cut off from the directory may return as the same incarnation.
 const GATE_RETENTION: Millis = Millis::from_secs(600);
 
-/// Whether an upstream takes a request.
+/// Whether an upstream accepts a request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum GateState {
-    /// Nothing speaks against it.
+    /// The upstream accepts requests.
     Open,
-    /// It advertises a limit, and there is no permit for a request of this rank before this moment.
+    /// The upstream advertises a limit, and no permit is available for this priority before the
+    /// given time.
     Limited(Millis),
-    /// It asked this VM to back off until this moment.
+    /// The upstream asked this VM to back off until the given time.
     BackingOff(Millis),
-    /// It says that it leaves: this run of it takes nothing any more.
+    /// The upstream announced that it leaves. This incarnation accepts no more requests.
     Leaving,
 }
 
@@ -26,7 +27,7 @@
         matches!(self, Self::Open)
     }
 
-    /// Its name in logs.
+    /// Returns the name used in logs.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Open => "open",
@@ -36,7 +37,7 @@
         }
     }
 
-    /// When it may take requests again, where that is known.
+    /// Returns when the upstream may accept requests again, if known.
     pub const fn opens_at(self) -> Option<Millis> {
         match self {
             Self::Open | Self::Leaving => None,
@@ -45,20 +46,20 @@
     }
 }
 
-/// Requests of a rank that get no permit for a while.
+/// A priority for which no permit is available for a while.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 struct PriorityLimit {
     priority: u8,
     until: Millis,
 }
 
-/// What speaks against sending to one upstream.
+/// Reasons not to send requests to one upstream.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 struct UpstreamGate {
     limits: Vec<PriorityLimit>,
     backoff_until: Millis,
     is_leaving: bool,
-    /// When the directory last named it, as far as was looked.
+    /// When the directory was last seen to list the upstream.
     listed_at: Millis,
 }
 
@@ -71,7 +72,7 @@
             return GateState::BackingOff(self.backoff_until);
         }
         let limits = self.limits.iter();
-        // Where the more urgent wait the less urgent do.
+        // A limit for an urgent priority also holds back all less urgent ones.
         let limits = limits.filter(|limit| limit.priority <= priority && limit.until > now);
         let until = limits.map(|limit| limit.until).max();
         until.map_or(GateState::Open, GateState::Limited)
@@ -84,14 +85,14 @@
     }
 }
 
-/// The upstreams that do not take all requests, by their runs.
+/// The upstreams that do not accept all requests, by incarnation.
 #[derive(Clone, Debug, Default)]
 pub struct GateTable {
     gates: IndexMap<UpstreamIncarnation, UpstreamGate>,
 }
 
 impl GateTable {
-    /// Whether an upstream takes a request of this rank.
+    /// Returns whether an upstream accepts a request of this priority.
     pub fn state(&self, incarnation: &UpstreamIncarnation, priority: u8, now: Millis) -> GateState {
         match self.gates.get(incarnation) {
             None => GateState::Open,
@@ -99,7 +100,8 @@
         }
     }
 
-    /// Sends nothing to an upstream until then that is no more urgent than this.
+    /// Holds back requests of this priority, and less urgent ones, from an upstream until the given
+    /// time.
     pub fn limit_until(
         &mut self,
         incarnation: &UpstreamIncarnation,
@@ -113,8 +115,8 @@
         gate.limits.push(PriorityLimit { priority, until });
     }
 
-    /// Sends nothing to an upstream until then, whatever its rank. Of several such times the latest holds, as each was asked
-    /// for. Says whether this VM was not backing off from it already.
+    /// Holds back all requests from an upstream until the given time. If it asked for several
+    /// backoffs, the latest end applies. Returns whether this VM was not backing off already.
     pub fn back_off(
         &mut self,
         incarnation: &UpstreamIncarnation,
@@ -127,13 +129,14 @@
         is_new
     }
 
-    /// Sends nothing to this run of an upstream any more. Says whether it had not said so before.
+    /// Holds back all requests from this incarnation of an upstream for good. Returns whether it
+    /// was not known to be leaving.
     pub fn mark_leaving(&mut self, incarnation: &UpstreamIncarnation, now: Millis) -> bool {
         let gate = self.gate_mut(incarnation, now);
         !std::mem::replace(&mut gate.is_leaving, true)
     }
 
-    /// Whether an upstream says that it leaves.
+    /// Whether an upstream announced that it leaves.
     pub fn is_leaving(&self, incarnation: &UpstreamIncarnation) -> bool {
         self.gates
             .get(incarnation)
@@ -146,20 +149,20 @@
         gate
     }
 
-    /// Upstreams that this VM backs off from now.
+    /// Returns the number of upstreams in backoff.
     pub fn backing_off_count(&self, now: Millis) -> usize {
         let gates = self.gates.values();
         gates.filter(|gate| gate.backoff_until > now).count()
     }
 
-    /// Forgets that requests were held back, as the upstream advertises no limit any more.
+    /// Drops the limits of an upstream that no longer advertises one.
     pub fn clear_limits(&mut self, incarnation: &UpstreamIncarnation) {
         if let Some(gate) = self.gates.get_mut(incarnation) {
             gate.limits.clear();
         }
     }
 
-    /// Forgets what has passed, and upstreams that the directory has not named for long.
+    /// Drops expired entries, and upstreams that the directory has not listed for a long time.
     pub fn retain<IsListed>(&mut self, is_listed: IsListed, now: Millis)
     where
         IsListed: Fn(&UpstreamIncarnation) -> bool,
--- a/crates/routing/src/monitor.rs
+++ b/crates/routing/src/monitor.rs
@@ -1,4 +1,4 @@
-//! Load and trouble of all upstreams, as one entry VM knows them.
+//! Load and health of all upstreams, as one entry VM knows them.
 
 use bergamot_feed::PeerDescriptor;
 use bergamot_occupancy::{LeaderCounts, LeaderLoad, OccupancyState, leader_key};
@@ -12,28 +12,28 @@
 use crate::stalls::{StallNotice, StallRecipients, StallTable};
 use crate::upstream::RouteUpstream;
 
-/// Factor on an equal part of the slots for the first limit.
+/// Factor on an equal share of the slots that gives the initial limit.
 const INITIAL_LIMIT_FACTOR: f64 = 1.5;
-/// The lowest first limit, in requests.
+/// Lowest initial limit, in requests.
 const MIN_INITIAL_LIMIT: f64 = 2.0;
 
-/// All upstreams that were sent to.
+/// Load and health of all upstreams to which requests were sent.
 #[derive(Debug)]
 pub struct UpstreamMonitor {
     loads: IndexMap<UpstreamIncarnation, UpstreamLoad>,
     pub(crate) assignment: LeaderAssignment,
-    /// What the other entry VMs have in flight.
+    /// Requests that the other entry VMs have in flight.
     pub occupancy: OccupancyState,
-    /// How fast the leaders of each model are seen to be.
+    /// Observed latencies of the leaders of each model.
     pub latencies: ModelLatencies,
-    /// Leaders of whose silence entry VMs tell each other.
+    /// Stalled leaders that entry VMs reported.
     pub stalls: StallTable,
-    /// Upstreams that do not take all requests.
+    /// Upstreams that do not accept all requests.
     pub gates: GateTable,
 }
 
 impl UpstreamMonitor {
-    /// A book of the entry VM at `place` in which nothing was sent yet.
+    /// Creates the monitor of the entry VM `own`, with no requests in flight.
     pub fn new(own: PeerDescriptor) -> Self {
         Self {
             loads: IndexMap::new(),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Shares the leaders out over the entry VMs `vms`, of which `own` is this one.
+    /// Assigns the leaders to the entry VMs `vms`, of which `own` is this one.
     pub fn assign_leaders<'a, Leaders>(&mut self, leaders: Leaders, vms: &[&str], own: &str)
     where
         Leaders: Iterator<Item = &'a RouteUpstream>,
@@ -53,7 +53,7 @@
         self.assignment.assign(leaders, vms, own);
     }
 
-    /// What is in flight from here.
+    /// Returns the load that this VM has in flight at each leader.
     pub fn in_flight(&self) -> LeaderCounts {
         let mut counts = LeaderCounts::default();
         for (incarnation, load) in &self.loads {
@@ -62,7 +62,7 @@
         counts
     }
 
-    /// The load of one upstream.
+    /// Returns the load of an upstream.
     pub fn load(&self, incarnation: &UpstreamIncarnation) -> UpstreamLoad {
         self.loads.get(incarnation).copied().unwrap_or_default()
     }
@@ -71,7 +71,7 @@
         self.loads.entry(incarnation.clone()).or_default()
     }
 
-    /// What all entry VMs have in flight at a leader, as far as known.
+    /// Returns the load that all entry VMs have in flight at a leader, as far as known.
     pub(crate) fn total_load_at(
         &self,
         incarnation: &UpstreamIncarnation,
@@ -81,16 +81,16 @@
         remote_load.saturating_add(self.load(incarnation).own_load())
     }
 
-    /// The limit before an upstream has shown what it bears: somewhat more than an equal part of
-    /// its slots, as callers are spread unevenly. Without it every VM would fill a group that has
-    /// just opened by itself.
+    /// Returns the limit that applies before an upstream has answered. It is somewhat above an
+    /// equal share of the slots, as callers are spread unevenly over VMs. Without it every VM would
+    /// fill a newly opened group by itself.
     pub(crate) fn initial_limit(&self, slots: u32) -> f64 {
         let user_count = self.assignment.user_count(slots);
         let equal_share = f64::from(slots) / user_count as f64;
         (equal_share * INITIAL_LIMIT_FACTOR).clamp(MIN_INITIAL_LIMIT, f64::from(slots).max(1.0))
     }
 
-    /// Counts a request for a model with so many prompt tokens that is sent.
+    /// Records that a request with `prompt_tokens` tokens was sent.
     pub fn record_sent(
         &mut self,
         incarnation: &UpstreamIncarnation,
@@ -103,7 +103,8 @@
             .record_sent(prompt_tokens, suspicion_timeouts, now);
     }
 
-    /// The time from a send to the first event that is expected from a leader by its load, where its speed is known.
+    /// Returns the time from sending to the first event that is expected from a leader at its load,
+    /// or zero if its speed is unknown.
     pub fn expected_first_event(
         &self,
         upstream: &RouteUpstream,
@@ -115,11 +116,12 @@
         expected_ms.map_or(Millis::ZERO, |expected_ms| Millis(expected_ms as u64))
     }
 
-    /// What it means that nothing has come from a leader, for a request for this model that was sent there.
+    /// Judges whether a leader that has sent nothing is stalled, for a request that was sent to it.
     ///
-    /// Where its streams stand still all entry VMs know within some 150 ms, not only those with a stream there: of 13,000
-    /// streams on a day on which two upstreams go dark every 3 s, 252 had their first event only after 1.3 s there and
-    /// another send (87 VMs; counted from the logs of a day).
+    /// All entry VMs learn of stalled streams within about 150 ms, not only those with a stream
+    /// there. On a day on which two upstreams become unreachable every 3 s, 252 of 13,000 streams
+    /// got their first event only after 1.3 s at such an upstream and a retry (87 VMs; counted from
+    /// the logs of a day).
     pub fn judge_stall(
         &self,
         upstream: &RouteUpstream,
@@ -143,13 +145,13 @@
         self.latencies.judge(model, inactivity)
     }
 
-    /// Counts the answer to such a request that begins.
+    /// Records that the answer to a request has begun.
     pub fn record_answer_begun(&mut self, incarnation: &UpstreamIncarnation, prompt_tokens: u32) {
         self.load_mut(incarnation)
             .record_answer_begun(prompt_tokens);
     }
 
-    /// Counts the end of such a request, whose answer may have begun.
+    /// Records the end of a request. `has_begun` tells whether its answer had begun.
     pub fn record_ended(
         &mut self,
         incarnation: &UpstreamIncarnation,
@@ -160,34 +162,34 @@
             .record_ended(has_begun, prompt_tokens);
     }
 
-    /// Notes that a connection is being set up.
+    /// Records that a connection is being established.
     pub fn record_connecting(&mut self, incarnation: &UpstreamIncarnation, now: Millis) {
         self.load_mut(incarnation).record_connecting(now);
     }
 
-    /// Notes that a connection is no longer being set up, whatever became of it.
+    /// Records that a connection is no longer being established, whatever the outcome.
     pub fn record_connect_finished(&mut self, incarnation: &UpstreamIncarnation) {
         self.load_mut(incarnation).record_connect_finished();
     }
 
-    /// Notes that a connection was set up.
+    /// Records that a connection was established.
     pub fn record_connected(&mut self, incarnation: &UpstreamIncarnation) {
         self.load_mut(incarnation).connecting_since = None;
     }
 
-    /// Notes that a connection was not set up.
+    /// Records that a connection could not be established.
     pub fn record_connect_failure(&mut self, incarnation: &UpstreamIncarnation, now: Millis) {
         let load = self.load_mut(incarnation);
         load.connecting_since = None;
         load.record_connect_failure(now);
     }
 
-    /// Notes that its group has changed: what was held against it no longer counts.
+    /// Drops past failures and learned limits of an upstream whose group has changed.
     pub fn record_group_change(&mut self, incarnation: &UpstreamIncarnation) {
         self.load_mut(incarnation).record_group_change();
     }
 
-    /// Notes that something came from it.
+    /// Records that data was received from an upstream.
     pub fn record_progress(&mut self, incarnation: &UpstreamIncarnation, now: Millis) {
         if !self.stalls.is_empty() {
             self.stalls.clear(leader_key(incarnation));
@@ -195,7 +197,8 @@
         self.load_mut(incarnation).record_progress(now);
     }
 
-    /// Notes what the silence of a leader was found to mean by the VM whose short name is `witness`, which is this one.
+    /// Records the verdict on a leader, and returns who is to be informed. `witness` is the hash of
+    /// this VM's name.
     pub fn record_stall_verdict(
         &mut self,
         incarnation: &UpstreamIncarnation,
@@ -206,7 +209,7 @@
         if verdict == StallVerdict::Still {
             self.record_stall(incarnation, now);
         }
-        // Without a stream that has begun, it may only be that the first event takes long.
+        // If no stream has begun, the first event may merely take long.
         if verdict == StallVerdict::Sound || !self.load(incarnation).has_begun() {
             return StallRecipients::default();
         }
@@ -221,8 +224,9 @@
         }
     }
 
-    /// Notes that another VM tells that streams of a leader stand still. Says whether to pass that on. What came from there
-    /// to this VM a moment ago says more.
+    /// Records the notice of another VM that streams of a leader are stalled. Returns whether it
+    /// should be passed on. A notice is ignored if this VM received data from the leader a moment
+    /// ago.
     pub fn record_stall_notice(&mut self, notice: StallNotice, now: Millis) -> bool {
         let mut loads = self.loads.iter();
         let load = loads.find(|(incarnation, _)| leader_key(incarnation) == notice.leader);
@@ -230,7 +234,8 @@
         !has_recent_data && self.stalls.record(now, notice)
     }
 
-    /// Notes how long the first event of a stream took, against its objective.
+    /// Records how long the first event of a stream took, and adjusts the limits by comparing it
+    /// with the objective.
     pub fn record_first_event(
         &mut self,
         incarnation: &UpstreamIncarnation,
@@ -248,28 +253,28 @@
         }
     }
 
-    /// Notes that an upstream is full.
+    /// Lowers the limit of an upstream that is full.
     pub fn lower_limit(&mut self, incarnation: &UpstreamIncarnation, slots: u32) {
         let initial_limit = self.initial_limit(slots);
         self.load_mut(incarnation).lower_limit(initial_limit);
     }
 
-    /// Notes a whole answer.
+    /// Records a complete answer.
     pub fn record_success(&mut self, incarnation: &UpstreamIncarnation) {
         self.load_mut(incarnation).record_success();
     }
 
-    /// Notes a failure.
+    /// Records a failure.
     pub fn record_failure(&mut self, incarnation: &UpstreamIncarnation, now: Millis) {
         self.load_mut(incarnation).record_failure(now);
     }
 
-    /// Notes that requests stand still there.
+    /// Records that requests at an upstream are stalled.
     pub fn record_stall(&mut self, incarnation: &UpstreamIncarnation, now: Millis) {
         self.load_mut(incarnation).record_stall(now);
     }
 
-    /// Forgets upstreams that are not listed any more and have nothing in flight.
+    /// Drops upstreams that are no longer listed and have no requests in flight.
     pub fn retain<IsListed>(&mut self, is_listed: IsListed, now: Millis)
     where
         IsListed: Fn(&UpstreamIncarnation) -> bool,
@@ -279,7 +284,7 @@
             .retain(|incarnation, load| load.in_flight > 0 || is_listed(incarnation));
     }
 
-    /// Why these upstreams take no request of this rank now, for the log.
+    /// Describes for the log why these upstreams accept no request of this priority.
     pub fn describe_gates(&self, pool: &[RouteUpstream], priority: u8, now: Millis) -> String {
         let gates = pool.iter().map(|upstream| {
             let incarnation = &upstream.incarnation;
@@ -292,7 +297,7 @@
         gates.collect::<Vec<_>>().join(",")
     }
 
-    /// What the limits of these upstreams are, and what is in flight, for the log.
+    /// Describes for the log the limits of these upstreams and the requests in flight.
     pub fn describe(&self, pool: &[RouteUpstream], now: Millis) -> String {
         let is_remote_load_known = self.occupancy.is_remote_load_known(now);
         let loads = pool.iter().map(|upstream| {
--- a/crates/routing/src/reach.rs
+++ b/crates/routing/src/reach.rs
@@ -1,4 +1,4 @@
-//! Failure domains that are out of reach.
+//! Detects failure domains that are unreachable.
 
 use bergamot_types::prelude::*;
 use indexmap::IndexMap;
@@ -6,14 +6,16 @@
 use crate::load::UpstreamLoad;
 use crate::upstream::RouteUpstream;
 
-/// Upstreams of a failure domain that take no connections, from which on the domain counts as out of reach if
-/// nothing has come from any other there since. One alone may be dead.
+/// Number of upstreams of a failure domain without connections from which the domain counts as
+/// unreachable, if no other upstream there has sent anything since. A single upstream may simply
+/// have failed.
 const MIN_UNREACHED_UPSTREAMS: usize = 2;
 
-/// Failure domains among these upstreams' that are out of reach, as after a cut. All of a domain's upstreams are
-/// left alone then, not each one after it was tried in vain: a VM that was cut off with its failure domain tried
-/// each of 40 leaders for 150 ms, so that 880 connections were not set up in seven seconds (195 VMs; counted
-/// from the logs of a day).
+/// Returns the failure domains of these upstreams that are unreachable, as after a network
+/// partition. All upstreams of such a domain are avoided at once, not each one after a failed
+/// attempt. Otherwise a VM that was cut off with its failure domain tried each of 40 leaders for
+/// 150 ms, and 880 connections failed within seven seconds (195 VMs; counted from the logs of a
+/// day).
 pub(crate) fn unreachable_domains<LoadOf>(
     pool: &[RouteUpstream],
     load_of: LoadOf,
@@ -33,14 +35,14 @@
     unreachable.map(|(domain, _)| domain).collect()
 }
 
-/// What is known of a failure domain's upstreams together.
+/// Connection state of all upstreams of a failure domain.
 #[derive(Default)]
 struct DomainReachability {
-    /// Upstreams that take no connections.
+    /// Number of upstreams to which connections fail.
     unreached_count: usize,
-    /// Since when the first of them does not.
+    /// When connections to the first of them began to fail.
     unreached_since: Option<Millis>,
-    /// When anything last came from any of the domain's upstreams.
+    /// When data was last received from any upstream of the domain.
     last_received_at: Millis,
 }
 
