--- a/crates/routing/src/latency.rs
+++ b/crates/routing/src/latency.rs
@@ -1,4 +1,4 @@
-//! How fast the leaders of a model are seen to be, and what silence of one means by that.
+//! Observed latencies of a model's leaders, and when the inactivity of a leader counts as a stall.
 
 use std::collections::VecDeque;
 
@@ -6,45 +6,52 @@
 use bergamot_types::prelude::*;
 use indexmap::IndexMap;
 
-/// Times that are kept of each kind: the last ones, so that what changed counts after some seconds where a VM sends one
-/// request a second to a model.
+/// Number of latest samples kept of each kind. A change takes effect after some seconds if a VM
+/// sends one request a second to a model.
 const MAX_SAMPLES: usize = 256;
-/// Times below which the configuration says more than what was seen.
+/// With fewer samples the configured engine speed is used instead of the observed latency.
 const MIN_SAMPLES: usize = 20;
-/// Times that are noted between two looks at what follows from them: a look sorts all that are kept.
+/// Samples between two updates of the limits. Each update sorts all samples.
 const SAMPLES_PER_UPDATE: usize = 16;
-/// Part of pauses and first events that are no sign of trouble.
+/// Quantile of gaps and first events up to which latency is considered normal.
 const NORMAL_QUANTILE: f64 = 0.99;
 
-/// Factor on the usual longest pause after which a leader is suspected to stand still. All streams there get their events
-/// together, so each VM that has one sees it. With 1.3 four of five leaders that were suspected went on (87 VMs before 165
-/// upstreams, a day on which two go dark every 3 s).
+/// Factor on the normal longest gap after which a leader is suspected to be stalled. All streams of
+/// a leader get their events together, so each VM with a stream there observes it. With a factor of
+/// 1.3 four of five suspected leaders recovered (87 VMs, 165 upstreams, a day on which two become
+/// unreachable every 3 s).
 const SUSPICION_FACTOR: f64 = 2.0;
-/// Passes that make a pause where none was seen yet.
+/// Number of passes assumed as a gap until gaps are observed.
 const ASSUMED_GAP_PASSES: f64 = 3.0;
-/// The shortest silence that counts: processes of a VM on an eighth of a core are not run for this long at times.
+/// Shortest inactivity that counts. Processes of a VM with an eighth of a core are sometimes not
+/// scheduled for this long.
 const MIN_TIMEOUT: Millis = Millis(60);
-/// The longest one that passes without suspicion, however slow all leaders are.
+/// Longest inactivity without suspicion, however slow all leaders are.
 const MAX_TIMEOUT: Millis = Millis(350);
-/// Silence after which others are better used where nothing was seen of a model yet. With 350 ms 0.029 instead of 0.026 of a
-/// load as large as the leaders bear were refused for good (`experiment::serving`).
+/// Inactivity after which a leader of a model without samples is avoided. With 350 ms, 0.029 of
+/// requests instead of 0.026 were rejected for good at a load that just fills the leaders
+/// (`experiment::serving`).
 const DEFAULT_TIMEOUT: Millis = Millis(200);
-/// Factor on that silence after which requests go on elsewhere that still wait for their first event there. The sooner, the
-/// more of them are in time; of those silences that reached this, two in three did not end (the same day).
+/// Factor on the suspicion timeout after which requests that await their first event move to
+/// another upstream. An early move lets more of them be in time. Two of three leaders that were
+/// inactive for this long did not recover (on the same day as for `SUSPICION_FACTOR`).
 const LIKELY_STALL_FACTOR: f64 = 1.7;
-/// The same for streams that have begun. Their pause is late by then, so there is no hurry.
+/// Factor on the suspicion timeout after which streams that have begun move too. Their gap is
+/// already late by then, so an early move gains nothing.
 const RESUME_FACTOR: f64 = 3.0;
-/// The longest silence in which streams wait, whatever was seen.
+/// Longest inactivity for which streams wait, whatever was observed.
 const MAX_STALL: Millis = Millis(600);
-/// Factor on what first events usually come later than expected at most, after which a request goes on elsewhere where the
-/// leader has room for it.
+/// Factor on the normal delay of a first event over the expected time, after which a request moves
+/// to another upstream if the leader had room for it.
 const DELAY_FACTOR: f64 = 1.5;
-/// The same where requests of others may wait before it, or where nothing was seen yet. Callers leave after two seconds.
+/// Timeout for the first event if other requests may be queued ahead, or if nothing was observed
+/// yet. Callers leave after two seconds.
 const QUEUE_TIMEOUT: Millis = Millis(1_300);
-/// The least time that a request waits at a leader of whose silence others tell: it may just have gone on.
+/// Shortest time that a request waits at a leader that others reported as stalled, as it may just
+/// have recovered.
 const MIN_REPORTED_STALL_WAIT: Millis = Millis(40);
 
-/// The last times of one kind.
+/// The latest samples of one kind.
 #[derive(Clone, Debug, Default)]
 struct LatencySamples {
     samples: VecDeque<u32>,
@@ -59,7 +66,7 @@
             .push_back(duration.0.try_into().unwrap_or(u32::MAX));
     }
 
-    /// The time below which the usual part stays, in milliseconds; none where too few were seen.
+    /// Returns the normal upper bound in milliseconds, or none with too few samples.
     fn normal_ms(&self) -> Option<f64> {
         if self.samples.len() < MIN_SAMPLES {
             return None;
@@ -71,24 +78,25 @@
     }
 }
 
-/// How fast the leaders of one model are seen to be.
+/// Observed latencies of the leaders of one model.
 #[derive(Clone, Debug, Default)]
 pub struct ModelLatency {
     gaps: LatencySamples,
     first_events: LatencySamples,
-    /// How much later than expected first events came.
+    /// How much later than expected first events arrived.
     first_event_delays: LatencySamples,
-    /// What follows from them. Kept, as it is asked for at each look.
+    /// Limits derived from the samples. Cached, as every check of a leader needs them.
     limits: LatencyLimits,
-    /// Times noted since the limits were worked out.
+    /// Samples recorded since the limits were updated.
     samples_since_update: usize,
 }
 
-/// Silences that mean something.
+/// Limits on the inactivity of a leader.
 #[derive(Clone, Copy, Debug)]
 struct LatencyLimits {
     timeouts: SuspicionTimeouts,
-    /// Time beyond the expected one after which a request goes on elsewhere that waits for its first event.
+    /// Time after the expected one after which a request that awaits its first event moves to
+    /// another upstream.
     first_event_delay: Millis,
 }
 
@@ -101,12 +109,12 @@
     }
 }
 
-/// Silences of a leader after which others are better used.
+/// Inactivity of a leader after which it is avoided.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct SuspicionTimeouts {
-    /// Where a stream from there has begun.
+    /// Applies if a stream from the leader has begun.
     pub gap: Millis,
-    /// Where only first events are due.
+    /// Applies if only first events are due.
     pub first_event: Millis,
 }
 
@@ -120,13 +128,13 @@
 }
 
 impl ModelLatency {
-    /// Notes the time between two events of a stream at one leader.
+    /// Records the time between two events of a stream from one leader.
     pub fn record_gap(&mut self, duration: Millis, speed: Option<EngineSpeed>, slots: u32) {
         self.gaps.record(duration);
         self.update_limits(speed, slots);
     }
 
-    /// Notes the time from a send to the first event, and the one that was expected.
+    /// Records the time from sending to the first event, and the expected time.
     pub fn record_first_event(
         &mut self,
         duration: Millis,
@@ -139,7 +147,7 @@
         self.update_limits(speed, slots);
     }
 
-    /// Works the limits out anew, now and then.
+    /// Updates the limits after every few samples.
     fn update_limits(&mut self, speed: Option<EngineSpeed>, slots: u32) {
         self.samples_since_update += 1;
         if self.samples_since_update < SAMPLES_PER_UPDATE {
@@ -164,7 +172,7 @@
         };
     }
 
-    /// What a leader's silence means.
+    /// Judges the inactivity of a leader.
     pub fn judge(&self, inactivity: LeaderInactivity) -> StallVerdict {
         match inactivity.has_begun {
             true => self.judge_gap(inactivity),
@@ -172,7 +180,7 @@
         }
     }
 
-    /// The same where a stream from there has begun.
+    /// Judges the inactivity of a leader from which a stream has begun.
     fn judge_gap(&self, inactivity: LeaderInactivity) -> StallVerdict {
         let timeout = self.limits.timeouts.gap;
         let scaled = |factor: f64| Millis((timeout.0 as f64 * factor) as u64).min(MAX_STALL);
@@ -181,7 +189,8 @@
             false => scaled(RESUME_FACTOR),
         };
         match inactivity.duration {
-            // One that came when the leader had long been silent has yet to give it the time for an answer.
+            // A request that was sent to an already inactive leader first allows it the time for an
+            // answer.
             duration if duration >= max_gap && inactivity.waited >= timeout => StallVerdict::Still,
             duration if duration >= scaled(LIKELY_STALL_FACTOR) => StallVerdict::Stalled,
             duration if duration >= timeout => StallVerdict::Suspected,
@@ -189,7 +198,7 @@
         }
     }
 
-    /// The same where only first events are due.
+    /// Judges the inactivity of a leader from which only first events are due.
     fn judge_first_event(&self, inactivity: LeaderInactivity) -> StallVerdict {
         if inactivity.sent.is_last || inactivity.has_queue {
             return match inactivity.duration {
@@ -213,53 +222,54 @@
 /// A request that was sent to an upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct DispatchedRequest {
-    /// When.
+    /// When the request was sent.
     pub sent_at: Millis,
-    /// The time from there to its first event that was expected then.
+    /// Time from sending to the first event, as expected when it was sent.
     pub expected_first_event: Millis,
-    /// Whether it may be sent to no further upstream: it gets the most time, as nothing is left to it elsewhere.
+    /// Whether the request may not be sent to another upstream. Such a request waits longest, as it
+    /// has no alternative.
     pub is_last: bool,
 }
 
-/// What is known of a leader from which nothing comes.
+/// State of a leader from which nothing is received.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaderInactivity {
-    /// How long nothing has come from it.
+    /// How long nothing was received from the leader.
     pub duration: Millis,
-    /// How long the request that asks has waited there.
+    /// How long the request has waited at the leader.
     pub waited: Millis,
-    /// The request that asks.
+    /// The request for which the leader is judged.
     pub sent: DispatchedRequest,
-    /// Whether a stream from there has begun, so that its next event is due.
+    /// Whether a stream from the leader has begun, so that its next event is due.
     pub has_begun: bool,
-    /// Whether requests may wait there behind others.
+    /// Whether requests may be queued at the leader.
     pub has_queue: bool,
-    /// Whether another VM tells that its streams there stand still.
+    /// Whether another VM reported that its streams from the leader are stalled.
     pub is_stalled: bool,
 }
 
-/// What a silence means.
+/// Verdict on the inactivity of a leader.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum StallVerdict {
-    /// Nothing: events come in passes.
+    /// The leader is healthy: events arrive in passes.
     Sound,
-    /// It may stand still: new requests of this VM go elsewhere, and the coordinator is told.
+    /// The leader may be stalled: this VM sends new requests elsewhere and informs the coordinator.
     Suspected,
-    /// It stands still by all appearances: requests that wait there for their first event go on elsewhere, and the other VMs
-    /// are told.
+    /// The leader is very likely stalled: requests that await their first event move to other
+    /// upstreams, and the other VMs are informed.
     Stalled,
-    /// It stands still: requests go on elsewhere.
+    /// The leader is stalled: all requests move to other upstreams.
     Still,
 }
 
-/// How fast the leaders of each model are seen to be.
+/// Observed latencies of the leaders of each model.
 #[derive(Clone, Debug, Default)]
 pub struct ModelLatencies {
     latencies: IndexMap<ModelName, ModelLatency>,
 }
 
 impl ModelLatencies {
-    /// The pace of a model.
+    /// Returns the latencies of a model.
     pub fn get_mut(&mut self, model: &ModelName) -> &mut ModelLatency {
         if !self.latencies.contains_key(model) {
             self.latencies
@@ -268,7 +278,7 @@
         &mut self.latencies[model]
     }
 
-    /// What a silence of a leader of this model means.
+    /// Judges the inactivity of a leader of this model.
     pub fn judge(&self, model: Option<&ModelName>, inactivity: LeaderInactivity) -> StallVerdict {
         let latency = model.and_then(|model| self.latencies.get(model));
         match latency {
@@ -277,7 +287,7 @@
         }
     }
 
-    /// Silences of a leader of this model after which others are better used.
+    /// Returns the inactivity after which a leader of this model is avoided.
     pub fn suspicion_timeouts(&self, model: Option<&ModelName>) -> SuspicionTimeouts {
         let latency = model.and_then(|model| self.latencies.get(model));
         latency.map_or_else(SuspicionTimeouts::default, |known| known.limits.timeouts)
--- a/crates/routing/src/load.rs
+++ b/crates/routing/src/load.rs
@@ -1,80 +1,82 @@
-//! Load and trouble of one upstream as seen from one entry VM.
+//! Load and health of one upstream, as observed by one entry VM.
 
 use bergamot_occupancy::LeaderLoad;
 use bergamot_types::prelude::*;
 
 use crate::latency::SuspicionTimeouts;
 
-/// Time for which an upstream with a failure is avoided; doubled with each failure in a row.
+/// How long an upstream is avoided after a failure. Doubles with each consecutive failure.
 const FIRST_AVOIDANCE: Millis = Millis(300);
-/// The longest avoidance.
+/// Longest avoidance.
 const MAX_AVOIDANCE: Millis = Millis(5_000);
-/// Time for which an upstream is avoided at which requests stand still: the groups' coordinator
-/// ends the group by then, or it turns out to be sound.
+/// How long a stalled upstream is avoided. By then the groups' coordinator has stopped the group,
+/// or the upstream has proved healthy.
 const STALL_AVOIDANCE: Millis = Millis(2_000);
-/// Time between two doubts in an upstream that the coordinator hears of: it asks a member no sooner again.
+/// Shortest time between two suspicions of an upstream that reach the coordinator, which probes a
+/// member no more often.
 const SUSPICION_PERIOD: Millis = Millis(300);
-/// Time that a connection takes at a sound upstream, several times over.
+/// Several times the duration of connecting to a healthy upstream.
 const SLOW_CONNECT_THRESHOLD: Millis = Millis(40);
 
-/// Added to the limit of requests in flight by a first event in time.
+/// Increase of the limit of requests in flight after a first event in time.
 const LIMIT_INCREASE: f64 = 0.3;
-/// Taken off the limit by a late first event, or when the upstream is full. With twice the
-/// increase, a third of the first events are late where the limit settles.
+/// Decrease of the limit after a late first event, or when the upstream is full. At twice the
+/// increase, the limit settles where a third of the first events are late.
 const LIMIT_DECREASE: f64 = 0.6;
-/// The lowest limit.
+/// Lowest limit.
 pub(crate) const MIN_LIMIT: f64 = 1.0;
 
-/// Requests of all entry VMs that a leader is given at first, as a part of its slots: as many as run at once.
+/// Initial limit on the requests of all entry VMs at a leader, as a fraction of its slots: as many
+/// as can run at once.
 const INITIAL_FILL: f64 = 1.0;
-/// The highest part: what waits there then begins within one or two passes.
+/// Highest fraction. Requests beyond the slots then begin within one or two passes.
 const MAX_FILL: f64 = 1.1;
-/// The lowest part, for a leader whose first events are late whatever runs there.
+/// Lowest fraction, for a leader whose first events are late at any load.
 const MIN_FILL: f64 = 0.1;
-/// Added to the part by a first event in time at a leader that is nearly full.
+/// Increase of the fraction after a first event in time at a nearly full leader.
 const FILL_INCREASE: f64 = 0.02;
-/// Taken off it by a late first event.
+/// Decrease of the fraction after a late first event.
 const FILL_DECREASE: f64 = 0.03;
-/// Free slots with which a leader counts as nearly full.
+/// Number of free slots up to which a leader counts as nearly full.
 const NEARLY_FULL_FREE_SLOTS: f64 = 2.0;
 
-/// One upstream.
+/// Load and health of one upstream.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct UpstreamLoad {
-    /// Part of its slots that requests of all entry VMs together may take; none before the first answer.
-    /// Used while it is known what the others have in flight.
+    /// Fraction of the slots that the requests of all entry VMs together may use; none before the
+    /// first answer. Used while the load of the other VMs is known.
     fill: Option<f64>,
-    /// Requests that may be in flight from here; none before the first answer. It grows while
-    /// first events come in time and shrinks when they are late, so that all entry VMs together
-    /// keep an upstream's queue short while they do not know what the others have in flight.
+    /// Limit of requests in flight from this VM; none before the first answer. It grows while first
+    /// events arrive in time and shrinks when they are late. Thus all entry VMs together keep the
+    /// queue of an upstream short while they do not know each other's load.
     limit: Option<f64>,
-    /// Requests sent from here and not ended.
+    /// Number of requests in flight from this VM.
     pub in_flight: u32,
-    /// Of these, the ones whose answers have begun.
+    /// Number of requests in flight whose answers have begun.
     begun_answers: u32,
-    /// Prompt tokens of the others.
+    /// Number of prompt tokens of requests whose answers have not begun.
     pending_prompt_tokens: u32,
-    /// When anything last came from it.
+    /// When data was last received from the upstream.
     last_received_at: Millis,
-    /// Since when there has been a request in flight from here without a break.
+    /// Start of the current period with at least one request in flight from this VM.
     busy_since: Millis,
-    /// Silences after which others are better used, by the model of the last request.
+    /// Inactivity after which the upstream is avoided, by the model of the last request.
     suspicion_timeouts: SuspicionTimeouts,
-    /// Connections that are on their way.
+    /// Number of connections being established.
     pending_connections: u32,
-    /// Since when one has been, if one is.
+    /// When the oldest of these began, if there are any.
     pub(crate) connecting_since: Option<Millis>,
-    /// When it was last doubted that it goes on.
+    /// When the upstream was last suspected to be stalled.
     suspected_at: Option<Millis>,
-    /// When a connection to it was last not set up.
+    /// When a connection to the upstream last failed.
     connect_failed_at: Option<Millis>,
-    /// Failures in a row.
+    /// Number of consecutive failures.
     failures: u32,
     avoided_until: Millis,
 }
 
 impl UpstreamLoad {
-    /// What is in flight from here.
+    /// Returns the load in flight from this VM.
     pub fn own_load(&self) -> LeaderLoad {
         LeaderLoad {
             requests: self.in_flight,
@@ -82,13 +84,13 @@
         }
     }
 
-    /// Whether an answer from it has begun and goes on. Where none has, silence may only mean that
-    /// requests wait there behind those of other entry VMs.
+    /// Whether an answer from the upstream has begun and has not ended. If none has, inactivity may
+    /// only mean that requests are queued behind those of other entry VMs.
     pub fn has_begun(&self) -> bool {
         self.begun_answers > 0
     }
 
-    /// How long it has been silent while it had something to do.
+    /// Returns how long nothing was received while a request was in flight.
     pub fn inactivity(&self, now: Millis) -> Millis {
         match self.in_flight {
             0 => Millis::ZERO,
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Whether others are better used now.
+    /// Whether other upstreams are preferred now.
     pub fn is_avoided(&self, now: Millis) -> bool {
         let is_connecting = self.slow_connect_since(now).is_some();
         self.avoided_until > now
@@ -104,7 +106,8 @@
             || self.inactivity(now) > self.tolerated_inactivity()
     }
 
-    /// The silence that passes: without a stream that has begun, no pause is over yet.
+    /// Returns the inactivity that is tolerated. The first-event timeout applies until a stream has
+    /// begun, as no gap between events can be late before.
     fn tolerated_inactivity(&self) -> Millis {
         match self.has_begun() {
             true => self.suspicion_timeouts.gap,
@@ -112,20 +115,22 @@
         }
     }
 
-    /// Since when a connection has been on its way, if that is longer than it takes at a sound upstream.
+    /// Returns when the oldest pending connection began, if it takes longer than at a healthy
+    /// upstream.
     fn slow_connect_since(&self, now: Millis) -> Option<Millis> {
         self.connecting_since
             .filter(|since| now.since(*since) > SLOW_CONNECT_THRESHOLD)
     }
 
-    /// Since when connections to it are not set up; none where that is not known or long ago.
+    /// Returns since when connections to the upstream fail; none if that is unknown or long ago.
     pub(crate) fn connect_failing_since(&self, now: Millis) -> Option<Millis> {
         let failed_at = self.connect_failed_at;
         let failed_at = failed_at.filter(|failed_at| now.since(*failed_at) < STALL_AVOIDANCE);
         failed_at.or_else(|| self.slow_connect_since(now))
     }
 
-    /// Notes that it is doubted to go on. Says whether that was not noted a moment ago.
+    /// Records that the upstream is suspected to be stalled. Returns whether it was not already
+    /// recorded a moment ago.
     pub(crate) fn record_suspicion(&mut self, now: Millis) -> bool {
         let is_due = self
             .suspected_at
@@ -136,7 +141,7 @@
         is_due
     }
 
-    /// When anything last came from it.
+    /// Returns when data was last received from the upstream.
     pub(crate) const fn last_received_at(&self) -> Millis {
         self.last_received_at
     }
@@ -146,7 +151,8 @@
         self.connecting_since.get_or_insert(now);
     }
 
-    /// Without this, one whose caller left while it was being set up would count as slow for good.
+    /// Records the end of connecting. Otherwise a connection whose caller left early would count as
+    /// slow for good.
     pub(crate) fn record_connect_finished(&mut self) {
         self.pending_connections = self.pending_connections.saturating_sub(1);
         if self.pending_connections == 0 {
@@ -158,12 +164,13 @@
         self.connect_failed_at = Some(now);
     }
 
-    /// Requests that may be in flight from here, where `first` holds before the first answer.
+    /// Returns the limit of requests in flight from this VM. `initial_limit` applies before the
+    /// first answer.
     pub fn limit(&self, initial_limit: f64) -> f64 {
         self.limit.unwrap_or(initial_limit).max(MIN_LIMIT)
     }
 
-    /// Requests that all entry VMs together may have in flight at a leader with so many slots.
+    /// Returns the limit of requests from all entry VMs at a leader with this many slots.
     pub fn common_limit(&self, slots: u32) -> f64 {
         (f64::from(slots) * self.fill.unwrap_or(INITIAL_FILL)).max(MIN_LIMIT)
     }
@@ -200,12 +207,12 @@
         self.connect_failed_at = None;
     }
 
-    /// Whether something came from it within the time of a usual pause.
+    /// Whether data was received from the upstream within the time of a normal gap.
     pub(crate) fn has_recent_data(&self, now: Millis) -> bool {
         now.since(self.last_received_at) < self.suspicion_timeouts.gap
     }
 
-    /// Forgets what was held against it.
+    /// Drops past failures and learned limits.
     pub(crate) fn record_group_change(&mut self) {
         self.avoided_until = Millis::ZERO;
         self.failures = 0;
@@ -213,7 +220,8 @@
         self.fill = None;
     }
 
-    /// Raises its limits: a first event came in time while `total` requests of all VMs were there.
+    /// Raises the limits after a first event in time, with `total_requests` requests of all VMs in
+    /// flight.
     pub(crate) fn raise_limits(&mut self, slots: u32, initial_limit: f64, total_requests: u32) {
         if f64::from(total_requests) >= self.common_limit(slots) - NEARLY_FULL_FREE_SLOTS {
             let fill = self.fill.unwrap_or(INITIAL_FILL);
@@ -225,14 +233,14 @@
         }
     }
 
-    /// Lowers its limits: a first event was late.
+    /// Lowers the limits after a late first event.
     pub(crate) fn record_late_first_event(&mut self, initial_limit: f64) {
         let fill = self.fill.unwrap_or(INITIAL_FILL);
         self.fill = Some((fill - FILL_DECREASE).max(MIN_FILL));
         self.lower_limit(initial_limit);
     }
 
-    /// Lowers the limit of requests from here.
+    /// Lowers the limit of requests from this VM.
     pub(crate) fn lower_limit(&mut self, initial_limit: f64) {
         let limit = self.limit.unwrap_or(initial_limit);
         let limit = limit.min(f64::from(self.in_flight.max(1)) + 1.0);
--- a/crates/routing/src/stalls.rs
+++ b/crates/routing/src/stalls.rs
@@ -1,36 +1,39 @@
-//! Leaders of whose silence entry VMs tell each other.
+//! Stalled leaders that entry VMs report to each other.
 
 use bergamot_types::prelude::*;
 use indexmap::IndexMap;
 
-/// Time for which a leader counts as silent whose streams one VM finds to stand still: they go on elsewhere, and nobody is
-/// left there who would tell again. One VM alone may have lost its way to a sound leader.
+/// How long a stall that one VM reported is valid. The VM moves its streams to other upstreams and
+/// then has none left at the leader from which to report again. A single VM may also have lost its
+/// own path to a healthy leader.
 const STALL_VALIDITY: Millis = Millis(1_000);
-/// The same where the streams of several VMs do: a group that stands still is ended by then, or breaks by itself.
+/// How long a stall that two VMs reported is valid. By then a group that really stalled was stopped
+/// or has failed.
 const CONFIRMED_STALL_VALIDITY: Millis = Millis(5_000);
-/// Time between two notices of the same leader.
+/// Shortest time between two notices about the same leader.
 const NOTICE_PERIOD: Millis = Millis(100);
 
-/// That the streams which one entry VM has at a leader stand still. Doubt is not told: most leaders that are only suspected
-/// go on, and all VMs that left them alone would crowd the others.
+/// A notice that the streams from one entry VM to a leader are stalled. Mere suspicion is not sent:
+/// most suspected leaders recover, and if all VMs avoided them, they would overload the other
+/// leaders.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct StallNotice {
-    /// The leader's short name.
+    /// Hash of the leader's incarnation.
     pub leader: u32,
-    /// The short name of the entry VM that saw it.
+    /// Hash of the name of the entry VM that observed the stall.
     pub witness: u32,
 }
 
-/// Who is to hear of a silence: nobody of what was told a moment ago.
+/// Who is to be informed of a stall. Nobody, if they were informed a moment ago.
 #[derive(Clone, Copy, PartialEq, Eq, Default, Debug)]
 pub struct StallRecipients {
-    /// Whether the coordinator is, which asks the group.
+    /// Whether the coordinator is informed, which then probes the group.
     pub is_for_coordinator: bool,
-    /// What the other entry VMs are told.
+    /// The notice for the other entry VMs.
     pub for_vms: Option<StallNotice>,
 }
 
-/// What entry VMs told of leaders.
+/// Stalled leaders that entry VMs reported.
 #[derive(Clone, Debug, Default)]
 pub struct StallTable {
     stalls: IndexMap<u32, KnownStall>,
@@ -40,13 +43,13 @@
 struct KnownStall {
     expires_at: Millis,
     reported_at: Millis,
-    /// Whose streams stand still, two at most.
+    /// The VMs whose streams are stalled, two at most.
     first_witness: u32,
     second_witness: Option<u32>,
 }
 
 impl KnownStall {
-    /// Whether the VM has not told of the leader before, and is the second one.
+    /// Adds a VM. Returns whether it is the second one to report the leader.
     fn add_witness(&mut self, witness: u32) -> bool {
         if self.first_witness == witness || self.second_witness.is_some() {
             return false;
@@ -64,7 +67,8 @@
 }
 
 impl StallTable {
-    /// Notes what was told. Says whether that is to be passed on: not what was told a moment ago.
+    /// Records a notice. Returns whether it should be passed on, which is not the case shortly
+    /// after an equal one.
     pub fn record(&mut self, now: Millis, notice: StallNotice) -> bool {
         self.stalls.retain(|_, stall| stall.expires_at > now);
         let mut is_new = false;
@@ -86,19 +90,19 @@
         is_due
     }
 
-    /// Notes that something came from a leader.
+    /// Drops the stall of a leader from which something was received.
     pub fn clear(&mut self, leader: u32) {
         if !self.stalls.is_empty() {
             self.stalls.shift_remove(&leader);
         }
     }
 
-    /// Whether anything is told of any leader.
+    /// Whether no stall is recorded.
     pub fn is_empty(&self) -> bool {
         self.stalls.is_empty()
     }
 
-    /// Whether streams of a leader stand still.
+    /// Whether streams of a leader are reported as stalled.
     pub fn is_stalled(&self, now: Millis, leader: u32) -> bool {
         let stall = self.stalls.get(&leader);
         stall.is_some_and(|stall| stall.expires_at > now)
--- a/crates/routing/src/upstream.rs
+++ b/crates/routing/src/upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream as requests are routed to it.
+//! An upstream as a target of requests.
 
 use std::net::SocketAddr;
 
@@ -6,30 +6,31 @@
 use bergamot_ports::EngineSpeed;
 use bergamot_types::prelude::*;
 
-/// Passes of an engine, without the reading of prompts, until a first event: half of the one that runs and
-/// the one that reads the prompt.
+/// Number of engine passes until a first event, without the reading of prompts: half of the running
+/// pass and the one that reads the prompt.
 const FIRST_EVENT_PASSES: f64 = 1.5;
 
 /// An upstream that requests may be sent to.
 #[derive(Clone, PartialEq, Debug)]
 pub struct RouteUpstream {
-    /// Which run of it.
+    /// Incarnation of the upstream.
     pub incarnation: UpstreamIncarnation,
-    /// Where it listens.
+    /// Address on which the upstream listens.
     pub addr: SocketAddr,
-    /// Where it can be cut off.
+    /// Failure domain of the upstream.
     pub failure_domain: FailureDomain,
-    /// Requests it runs at once.
+    /// Number of requests that the upstream runs at once.
     pub slots: u32,
-    /// The group it leads, where it does.
+    /// The group that the upstream leads, if any.
     pub group: Option<GroupId>,
-    /// How fast that group is, where it is known.
+    /// Speed of that group, if known.
     pub speed: Option<EngineSpeed>,
 }
 
 impl RouteUpstream {
-    /// When the first event of a prompt with so many tokens comes from this leader under a load, in milliseconds:
-    /// the rest of the pass that runs, and one that reads all prompts which wait. None where its speed is not known.
+    /// Returns the expected time in milliseconds until the first event for a prompt at a given
+    /// load: the rest of the running pass, and one pass that reads all waiting prompts. None if the
+    /// speed is unknown.
     pub(crate) fn first_event_ms(&self, load: LeaderLoad, prompt_tokens: u32) -> Option<f64> {
         let speed = self.speed?;
         let running = load.requests.min(self.slots);
