--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -1,8 +1,8 @@
-//! Who may go on, who waits, and who is told to come back.
+//! Decides which requests run, which wait and which are rejected.
 //!
-//! One queue for each pool, so that model load cannot keep a plain service's call waiting.
-//! Within a pool the most urgent priority goes first and accounts take turns; what cannot be
-//! served before its deadline is refused at once.
+//! Each pool has its own queue, so that model load does not delay calls to plain services. Within a
+//! pool the most urgent priority goes first and accounts take turns. A request that cannot be
+//! served before its deadline is rejected at once.
 
 use bergamot_types::prelude::*;
 use indexmap::IndexMap;
@@ -10,54 +10,54 @@
 
 use bergamot_quota::TokenBucket;
 
-/// Bounds of one pool.
+/// Limits of one pool.
 #[derive(Clone, Debug)]
 pub struct PoolOptions {
-    /// Requests that go on at once.
+    /// Largest number of requests that run at once.
     pub concurrency: usize,
-    /// Requests that wait at most.
+    /// Largest number of requests that wait.
     pub queue: usize,
 }
 
-/// What is asked for.
+/// A request for admission.
 #[derive(Clone, Debug)]
 pub struct AdmissionRequest {
-    /// Names the request until it is released.
+    /// Identifies the request until it is released.
     pub ticket: u64,
-    /// Whose request.
+    /// The account that sent the request.
     pub account: ClientAccount,
-    /// 0 is the most urgent.
+    /// Priority of the request; 0 is the most urgent.
     pub priority: u8,
-    /// When the answer is of no use any more.
+    /// When the answer is no longer useful.
     pub deadline: Millis,
 }
 
-/// What this VM may use of an account's limit now.
+/// The part of an account's limit that this VM may use now.
 #[derive(Clone, Copy, Debug)]
 pub struct AccountQuota {
     /// Requests per second.
     pub rate: f64,
-    /// Requests at once. Fractions add up: half a place is a place half of the time.
+    /// Requests that run at once. Fractions of all VMs add up to the limit of the account.
     pub concurrency: f64,
 }
 
-/// The answer to a request for admission.
+/// Answer to a request for admission.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum AdmissionOutcome {
-    /// Go on now.
+    /// The request may run now.
     Admitted,
-    /// Wait; an [`AdmissionDecision`] or a refusal will name the ticket.
+    /// The request waits until an [`AdmissionDecision`] names its ticket.
     Queued,
-    /// Refused, with the time to come back after.
+    /// The request is rejected, with the time after which the caller should return.
     Rejected(ErrorKind, Millis),
 }
 
-/// A waiting request that may go on now, or is refused now.
+/// Decision about a waiting request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct AdmissionDecision {
-    /// Which.
+    /// The ticket of the request.
     pub ticket: u64,
-    /// None to go on, else why not.
+    /// None if the request may run, or else why it is rejected.
     pub refusal: Option<ErrorKind>,
 }
 
@@ -69,30 +69,30 @@
     request_count: u64,
 }
 
-/// The admission of one pool.
+/// Admission queue of one pool.
 #[derive(Clone, Debug)]
 pub struct AdmissionQueue {
     options: PoolOptions,
     accounts: IndexMap<ClientAccount, AccountState>,
-    /// For each priority, each account's waiting requests; accounts take turns.
+    /// Waiting requests by priority and account. Accounts take turns.
     waiting: IndexMap<u8, IndexMap<ClientAccount, VecDeque<AdmissionRequest>>>,
     waiting_count: usize,
     running: usize,
-    /// Smoothed time a request occupies its place, in milliseconds.
+    /// Smoothed time for which a request occupies its slot, in milliseconds.
     service_time: f64,
-    /// What a quick request takes, in milliseconds: less than this is not enough for any.
+    /// Time of a quick request, in milliseconds. No request is expected to finish in less.
     quick_time: f64,
 }
 
-/// How much of a new sample enters the smoothed service time.
+/// Weight of a new sample in the smoothed service time.
 const SERVICE_TIME_WEIGHT: f64 = 0.05;
-/// How fast the quick time follows shorter and longer samples.
+/// Weights of shorter and longer samples in the quick time.
 const QUICK_TIME_WEIGHTS: (f64, f64) = (0.2, 0.02);
 /// Service time assumed before the first sample, in milliseconds.
 const INITIAL_SERVICE_MS: f64 = 200.0;
 
 impl AdmissionQueue {
-    /// An idle pool.
+    /// Creates the queue of an idle pool.
     pub fn new(options: PoolOptions) -> Self {
         Self {
             options,
@@ -105,12 +105,12 @@
         }
     }
 
-    /// Sets how many requests go on at once, as upstreams come and go.
+    /// Sets how many requests run at once. Called as upstreams come and go.
     pub fn set_concurrency(&mut self, concurrency: usize) {
         self.options.concurrency = concurrency;
     }
 
-    /// Sets what an account may use here now.
+    /// Sets the quota of an account on this VM.
     pub fn set_quota(&mut self, now: Millis, account: &ClientAccount, quota: AccountQuota) {
         let state = self
             .accounts
@@ -125,18 +125,19 @@
         state.bucket.set_rate(now, quota.rate);
     }
 
-    /// Requests of an account that go on now.
+    /// Returns the number of running requests of an account.
     pub fn running(&self, account: &ClientAccount) -> usize {
         self.accounts.get(account).map_or(0, |state| state.running)
     }
 
-    /// Requests that an account asked for since the last call, admitted or not.
+    /// Returns the number of requests that an account made since the last call, whether admitted or
+    /// not.
     pub fn take_request_count(&mut self, account: &ClientAccount) -> u64 {
         let state = self.accounts.get_mut(account);
         state.map_or(0, |state| std::mem::take(&mut state.request_count))
     }
 
-    /// Requests of an account that go on or wait.
+    /// Returns the number of running and waiting requests of an account.
     pub fn demand(&self, account: &ClientAccount) -> usize {
         let queues = self
             .waiting
@@ -145,17 +146,17 @@
         self.running(account) + queues.map(VecDeque::len).sum::<usize>()
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting_count
     }
 
-    /// Requests that go on.
+    /// Returns the number of running requests.
     pub fn running_total(&self) -> usize {
         self.running
     }
 
-    /// Asks for admission.
+    /// Admits, queues or rejects a request.
     pub fn admit(&mut self, now: Millis, request: AdmissionRequest) -> AdmissionOutcome {
         let Some(state) = self.accounts.get_mut(&request.account) else {
             return AdmissionOutcome::Rejected(ErrorKind::RateLimited, Millis(1_000));
@@ -186,7 +187,8 @@
 
     fn enqueue(&mut self, now: Millis, request: AdmissionRequest) -> AdmissionOutcome {
         let wait = self.expected_wait(&request);
-        // To be served too late is to be served in vain, in the place of one that is not too late.
+        // A request that would finish too late is rejected, as it would waste a slot that another
+        // could use.
         if now + wait + self.quick_time() > request.deadline {
             return AdmissionOutcome::Rejected(ErrorKind::Overloaded, wait);
         }
@@ -204,8 +206,9 @@
         Millis(self.quick_time as u64)
     }
 
-    /// The wait behind everything more urgent and, as accounts take turns, behind as many requests
-    /// of each other account as this one's own has waiting; at the pace of late.
+    /// Estimates the wait at the smoothed service time. A request waits for all more urgent ones
+    /// and, as accounts take turns, for as many requests of each other account as its own account
+    /// has waiting.
     fn expected_wait(&self, request: &AdmissionRequest) -> Millis {
         let own_waiting = self.waiting_of(request.priority, &request.account) + 1;
         let mut requests_ahead = 0;
@@ -229,8 +232,8 @@
         queue.map_or(0, VecDeque::len)
     }
 
-    /// Marks a waiting request to be refused in favour of `request`: one that is less urgent, or
-    /// one of an account that has more waiting.
+    /// Marks a waiting request to be rejected in favour of `request`: a less urgent one, or one of
+    /// an account that has more waiting. Returns false if there is none.
     fn shed_for(&mut self, request: &AdmissionRequest) -> bool {
         let own_waiting = self.waiting_of(request.priority, &request.account) + 1;
         let is_lower_ranked = |priority: u8, length: usize| {
@@ -252,7 +255,7 @@
         let Some(latest) = queue.iter_mut().rev().find(is_unmarked) else {
             return false;
         };
-        // It is refused with the next poll; its place counts as free from now on.
+        // The next poll rejects the request. Its position counts as free from now on.
         latest.deadline = Millis::ZERO;
         true
     }
@@ -264,7 +267,7 @@
         }
     }
 
-    /// Ends a request that was admitted, after `took`.
+    /// Ends an admitted request that ran for `took`.
     pub fn release(&mut self, account: &ClientAccount, duration: Millis) {
         self.running = self.running.saturating_sub(1);
         let duration = duration.0 as f64;
@@ -279,7 +282,7 @@
         }
     }
 
-    /// Forgets a waiting request whose caller left.
+    /// Drops a waiting request whose caller left.
     pub fn cancel(&mut self, ticket: u64) {
         for queue in self
             .waiting
@@ -292,7 +295,7 @@
         }
     }
 
-    /// The waiting requests that go on or are refused now.
+    /// Returns the waiting requests that may run or are rejected now.
     pub fn poll(&mut self, now: Millis) -> Vec<AdmissionDecision> {
         let mut decisions = self.reject_late(now);
         while self.running < self.options.concurrency {
@@ -349,7 +352,7 @@
             };
             let (account, mut queue) = accounts.shift_remove_index(index)?;
             let request = queue.pop_front()?;
-            // The account goes to the end of the line, so that all take turns.
+            // Moves the account to the end, so that all accounts take turns.
             if !queue.is_empty() {
                 accounts.insert(account, queue);
             }
--- a/crates/routing/src/balance.rs
+++ b/crates/routing/src/balance.rs
@@ -1,4 +1,4 @@
-//! Which upstream a request goes to.
+//! Selects the upstream for a request by prefix affinity and load.
 
 use bergamot_types::prelude::*;
 use rand::{Rng, SeedableRng};
@@ -7,47 +7,48 @@
 
 use crate::table::{UpstreamFact, UpstreamTable};
 
-/// How an upstream is chosen. All but the first are baselines.
+/// How an upstream is selected. All policies but the first are baselines.
 #[derive(Clone, Copy, PartialEq, Eq, Default, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BalancePolicy {
-    /// Prefix affinity within a few candidates, two choices by load, slow ones set aside.
+    /// Prefix affinity within a few candidates, less loaded of two choices, slow upstreams ejected.
     #[default]
     Affinity,
-    /// Each in turn.
+    /// Each upstream in turn.
     RoundRobin,
-    /// The least load of all.
+    /// The least loaded of all upstreams.
     LeastLoaded,
-    /// The prefix's first choice, whatever its load.
+    /// The first choice of the prefix, whatever its load.
     PureHash,
-    /// Nested subsets by account and then by prefix, at random within, as in the cited paper.
+    /// Nested subsets by account and then by prefix, random within the inner subset, as in the
+    /// cited paper.
     NestedSubsets,
 }
 
-/// Settings of the choice.
+/// Settings of the selection.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct BalanceOptions {
-    /// How an upstream is chosen.
+    /// How an upstream is selected.
     pub policy: BalancePolicy,
-    /// Upstreams a prefix may go to.
+    /// Number of upstreams to which a prefix may be sent.
     pub candidates: usize,
-    /// How much more loaded than the second choice the first may be, in requests.
+    /// How many more requests the first choice may have than the least loaded candidate.
     pub affinity_slack: f64,
-    /// Whether candidates of the home failure domain come before all others. It saves the way
-    /// between failure domains and costs one copy of each prefix in every failure domain.
+    /// Whether candidates of the home failure domain precede all others. This saves latency between
+    /// failure domains and costs one copy of each prefix in every failure domain.
     pub prefer_home: bool,
-    /// Requests an upstream of the home failure domain may have more than one outside.
+    /// How many more requests an upstream of the home failure domain may have than one outside.
     pub home_slack: f64,
-    /// Times the median latency beyond which an upstream is set aside.
+    /// Factor on the median latency beyond which an upstream is ejected.
     pub slow_factor: f64,
-    /// Least latency that can count as slow, in milliseconds.
+    /// Lowest latency that can count as slow, in milliseconds.
     pub slow_floor_ms: f64,
-    /// First time set aside.
+    /// Duration of the first ejection.
     pub set_aside: Millis,
-    /// Age up to which evidence allows dispatch.
+    /// Largest age of evidence with which requests are sent without a probe.
     pub evidence_max_age: Millis,
-    /// Failures in a row that set an upstream aside.
+    /// Number of consecutive failures after which an upstream is ejected.
     pub failures_allowed: u32,
 }
 
@@ -68,31 +69,31 @@
     }
 }
 
-/// What the choice depends on.
+/// Properties of a request that determine its upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct PickRequest<'a> {
-    /// Whose request.
+    /// The account that sent the request.
     pub account: &'a ClientAccount,
-    /// Hash of the prompt's first part.
+    /// Hash of the first part of the prompt.
     pub prefix: u64,
     /// The failure domain of this entry VM.
     pub home: &'a FailureDomain,
-    /// Upstreams that this request was tried at already.
+    /// Upstreams to which the request was already sent.
     pub tried: &'a [UpstreamId],
 }
 
-/// The outcome of a choice.
+/// Result of the selection.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Choice {
-    /// Send it there.
+    /// Send the request to this upstream.
     Upstream(UpstreamFact),
-    /// Ask this upstream's members first; what is known of it is too old.
+    /// Probe the members of this upstream first, as the evidence about it is too old.
     Probe(UpstreamFact),
-    /// There is none.
+    /// No upstream is available.
     None,
 }
 
-/// Chooses upstreams for one model or service.
+/// Selects upstreams for one model or service.
 #[derive(Clone, Debug)]
 pub struct Balancer {
     options: BalanceOptions,
@@ -101,19 +102,19 @@
     next_index: usize,
 }
 
-/// How much of a new sample enters the smoothed latency.
+/// Weight of a new sample in the smoothed latency.
 const LATENCY_WEIGHT: f64 = 0.2;
-/// Samples before a latency says anything.
+/// Number of samples before a latency is used.
 const MIN_SAMPLES: u64 = 5;
-/// Share of its turns an upstream takes when it is let back first.
+/// Fraction of its requests that an upstream gets first when it is readmitted.
 const INITIAL_ADMISSION: f64 = 0.1;
-/// Longest time set aside, as a multiple of the first.
+/// Longest ejection, as a multiple of the first.
 const MAX_EJECTION_FACTOR: u64 = 24;
 /// Size of an account's subset in [`BalancePolicy::NestedSubsets`].
 const ACCOUNT_SUBSET_SIZE: usize = 12;
 
 impl Balancer {
-    /// A balancer without upstreams.
+    /// Creates a balancer without upstreams.
     pub fn new(options: BalanceOptions, seed: u64) -> Self {
         Self {
             options,
@@ -123,19 +124,20 @@
         }
     }
 
-    /// What is known of the upstreams.
+    /// Returns the known upstreams and their loads.
     pub fn table(&self) -> &UpstreamTable {
         &self.table
     }
 
-    /// Takes over the routable upstreams.
+    /// Replaces the routable upstreams.
     pub fn replace(&mut self, facts: Vec<UpstreamFact>) {
         self.table.replace(facts);
     }
 
-    /// Chooses an upstream. Count it with [`Balancer::record_sent`] when the request is sent.
+    /// Selects an upstream. The caller records the request with [`Balancer::record_sent`] when it
+    /// is sent.
     ///
-    /// Costs a hash for each upstream.
+    /// Computes one hash for each upstream.
     pub fn pick(&mut self, now: Millis, request: &PickRequest<'_>) -> Choice {
         let untried: Vec<&UpstreamFact> = self
             .table
@@ -176,7 +178,8 @@
     fn pick_affine(&self, request: &PickRequest<'_>, facts: &[&UpstreamFact]) -> UpstreamFact {
         let candidates = rank_upstreams(request.prefix, facts);
         let count = self.options.candidates.min(candidates.len()).max(1);
-        // Home candidates first: another domain's is worth it only when home is much busier.
+        // Candidates of the home failure domain come first. Those of another are used only if home
+        // is much busier.
         let load = |fact: &UpstreamFact| {
             let is_remote = fact.failure_domain != *request.home;
             let penalty = if is_remote {
@@ -225,20 +228,20 @@
         least_loaded.map_or_else(|| facts[0].clone(), |fact| (*fact).clone())
     }
 
-    /// Counts a request that is sent.
+    /// Records that a request was sent.
     pub fn record_sent(&mut self, id: &UpstreamId) {
         let load = self.table.load_mut(id);
         load.in_flight += 1;
         load.sent_since_report += 1;
     }
 
-    /// Counts the end of a request that was sent.
+    /// Records the end of a request that was sent.
     pub fn record_ended(&mut self, id: &UpstreamId) {
         let load = self.table.load_mut(id);
         load.in_flight = load.in_flight.saturating_sub(1);
     }
 
-    /// Notes a failure; several in a row set the upstream aside.
+    /// Records a failure, and ejects the upstream after several consecutive ones.
     pub fn record_failure(&mut self, now: Millis, id: &UpstreamId) {
         let max_failures = self.options.failures_allowed;
         let load = self.table.load_mut(id);
@@ -248,12 +251,12 @@
         }
     }
 
-    /// Notes evidence that came with an answer.
+    /// Records evidence that arrived with an answer.
     pub fn record_evidence(&mut self, id: &UpstreamId, epoch: u32, requested_at: Millis) {
         self.table.record_evidence(id, epoch, requested_at);
     }
 
-    /// Notes the time to the first token of an answer.
+    /// Records the time to the first token of an answer.
     pub fn record_latency(&mut self, now: Millis, id: &UpstreamId, latency: Millis) {
         let median = self.median_latency();
         let load = self.table.load_mut(id);
@@ -267,7 +270,7 @@
         };
         load.latency += (sample - load.latency) * weight;
         let slow_threshold = (median * self.options.slow_factor).max(self.options.slow_floor_ms);
-        // One that was set aside before has to prove itself with its first answer.
+        // A readmitted upstream is judged by its first answer.
         let min_samples = match load.set_asides {
             0 => MIN_SAMPLES,
             _ => 1,
@@ -293,7 +296,7 @@
         load.set_asides += 1;
         load.set_aside_until = now + Millis(first_ejection.0 * factor);
         load.admission = INITIAL_ADMISSION;
-        // It proves itself anew when it is let back.
+        // Statistics start anew when the upstream is readmitted.
         load.samples = 0;
         load.latency = 0.0;
         load.failures = 0;
@@ -317,7 +320,8 @@
     }
 }
 
-/// Upstreams that take part: those set aside do not, those let back take some turns.
+/// Returns the upstreams that take part: no ejected ones, and readmitted ones for a fraction of
+/// requests.
 fn admitted_upstreams<'a>(
     now: Millis,
     table: &UpstreamTable,
@@ -336,7 +340,7 @@
         }
     }
     match participants.is_empty() {
-        // Better a slow answer than none.
+        // A slow answer is better than none.
         true => facts.to_vec(),
         false => participants,
     }
--- a/crates/routing/src/share.rs
+++ b/crates/routing/src/share.rs
@@ -1,10 +1,11 @@
-//! This entry VM's share of each account's limit.
+//! This entry VM's share of each client account's limit.
 //!
-//! Every member of the roster has an equal base share, worked out from the record alone. A VM
-//! with more demand borrows from one with less, for a bounded time: the lender gives up what it
-//! lends before it answers and takes it back a margin after the borrower, whose clock started
-//! with the question, has stopped using it. So the shares never sum to more than the limit, in a
-//! partition or with lost or doubled messages. Lost answers only waste the share for that time.
+//! Every member of the roster has an equal base share, computed from the roster record alone. A VM
+//! with more demand borrows from one with less for a bounded time. The lender gives up the lent
+//! share before it replies. It takes the share back a margin after the borrower has stopped using
+//! it, whose clock started with the request. So the shares never sum to more than the limit, even
+//! during a partition or with lost or duplicated messages. A lost reply only wastes the share for
+//! that time.
 
 use bergamot_roster::RosterRecord;
 use bergamot_types::mutate::{Mutation, is_on};
@@ -12,14 +13,14 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-/// Times of lending.
+/// Timing of loans.
 #[derive(Clone, Debug)]
 pub struct ShareOptions {
-    /// How long a loan lasts for the borrower.
+    /// How long the borrower may use a loan.
     pub loan: Millis,
-    /// How much longer the lender does without it.
+    /// How much longer the lender goes without the lent share.
     pub margin: Millis,
-    /// Time between two questions for one account.
+    /// Shortest time between two requests for the same account.
     pub request_period: Millis,
 }
 
@@ -33,31 +34,31 @@
     }
 }
 
-/// A question for a loan.
+/// A request for a loan.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct LoanRequest {
-    /// Which account's limit.
+    /// The account whose limit is shared.
     pub account: ClientAccount,
-    /// Share of the limit that is wanted, 0 to 1.
+    /// Requested share of the limit, 0 to 1.
     pub wanted: f64,
-    /// The borrower's roster epoch.
+    /// Roster epoch of the borrower.
     pub epoch: u64,
-    /// The roll whose limits are meant.
+    /// The roll that defines the limits.
     pub roll: u64,
-    /// Names the question at the borrower, so that an answer counts once.
+    /// Identifies the request at the borrower, so that a reply is applied only once.
     pub serial: u64,
 }
 
-/// The answer to a [`LoanRequest`].
+/// The reply to a [`LoanRequest`].
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct LoanReply {
-    /// Which account's limit.
+    /// The account whose limit is shared.
     pub account: ClientAccount,
-    /// The question's name.
+    /// The serial of the request.
     pub serial: u64,
     /// Share of the limit that is lent, 0 to 1.
     pub lent: f64,
-    /// How long, from when the question was asked.
+    /// Duration of the loan, counted from the request.
     pub loan: Millis,
 }
 
@@ -71,14 +72,14 @@
 struct AccountShare {
     lent_loans: Vec<Loan>,
     borrowed_loans: Vec<Loan>,
-    /// Smoothed share of the limit that is in use or asked for here.
+    /// Smoothed share of the limit that is used or requested on this VM.
     demand: f64,
     next_request_at: Millis,
-    /// Questions that were not answered yet.
+    /// Serials of requests without a reply.
     pending_serials: Vec<u64>,
 }
 
-/// The shares of one entry VM.
+/// The limit shares of one entry VM.
 #[derive(Clone, Debug)]
 pub struct LimitShares {
     options: ShareOptions,
@@ -88,19 +89,19 @@
     accounts: IndexMap<ClientAccount, AccountShare>,
 }
 
-/// Share of its own that a lender always keeps.
+/// Fraction of the base share that a lender always keeps.
 const RESERVED_FRACTION: f64 = 0.1;
-/// How much of a new sample enters the smoothed demand.
+/// Weight of a new sample in the smoothed demand.
 const DEMAND_WEIGHT: f64 = 0.3;
-/// Share that a VM without a base share asks for.
+/// Share that a VM without a base share requests.
 const NEW_MEMBER_SHARE: f64 = 0.05;
-/// Questions whose answers are waited for.
+/// Largest number of requests that await a reply.
 const MAX_PENDING_REQUESTS: usize = 32;
-/// Spare share kept above the demand before lending.
+/// Factor on the demand that gives the share a VM keeps for itself before it lends.
 const DEMAND_HEADROOM: f64 = 1.25;
 
 impl LimitShares {
-    /// The shares before any roster is known: none.
+    /// Creates the shares before any roster is known; all are zero.
     pub fn new(options: ShareOptions) -> Self {
         Self {
             options,
@@ -111,11 +112,11 @@
         }
     }
 
-    /// The equal base share of `entry`, 0 to 1.
+    /// Returns the equal base share of `entry`, 0 to 1.
     ///
-    /// A new member has none until every member has settled on an epoch it is in, as the others
-    /// may still divide by the smaller number; the number divided by is the largest of any open
-    /// epoch.
+    /// A new member has no base share until every member has settled on an epoch that includes it,
+    /// as the others may still divide by the smaller count. The divisor is the largest member count
+    /// of any epoch that is still in use.
     pub fn base_share(record: &RosterRecord, entry: &EntryId) -> f64 {
         let is_settled = |member: &&bergamot_roster::Member| member.since <= record.settled;
         let settled = record.members.iter().filter(is_settled);
@@ -132,19 +133,19 @@
         }
     }
 
-    /// Takes over a new roster.
+    /// Applies a new roster.
     pub fn set_roster(&mut self, record: &RosterRecord, own: &EntryId) {
         self.epoch = record.epoch;
         self.base = Self::base_share(record, own);
     }
 
-    /// Notes how much of the limit is asked for here, as a share of the whole limit.
+    /// Records the demand on this VM, as a share of the whole limit.
     pub fn record_demand(&mut self, account: &ClientAccount, share: f64) {
         let state = self.accounts.entry(account.clone()).or_default();
         state.demand += (share - state.demand) * DEMAND_WEIGHT;
     }
 
-    /// The share this VM may use now, 0 to 1.
+    /// Returns the share that this VM may use now, 0 to 1.
     pub fn share(&self, now: Millis, account: &ClientAccount) -> f64 {
         let Some(state) = self.accounts.get(account) else {
             return self.base;
@@ -154,7 +155,7 @@
         (self.base - lent).max(0.0) + borrowed
     }
 
-    /// The share this VM could lend now.
+    /// Returns the share that this VM could lend now.
     pub fn slack(&self, now: Millis, account: &ClientAccount) -> f64 {
         let Some(state) = self.accounts.get(account) else {
             return self.base * (1.0 - RESERVED_FRACTION);
@@ -164,7 +165,7 @@
         (self.base - lent - needed).max(0.0)
     }
 
-    /// The loan to ask for now, if there is more demand than share.
+    /// Returns the loan to request now if the demand exceeds the share.
     pub fn needed_loan(
         &mut self,
         now: Millis,
@@ -178,7 +179,7 @@
             true => self.accounts.entry(account.clone()).or_default(),
             false => self.accounts.get_mut(account)?,
         };
-        // Without a share of its own a VM asks before its first caller comes.
+        // A VM without a base share requests a loan before its first caller arrives.
         let min_share = if is_new_member { NEW_MEMBER_SHARE } else { 0.0 };
         let wanted = (state.demand * DEMAND_HEADROOM).max(min_share) - share;
         if wanted <= 0.0 || now < state.next_request_at {
@@ -194,7 +195,7 @@
         })
     }
 
-    /// The question for part of a wish, to be put to one lender.
+    /// Creates the request to one lender for part of a needed loan.
     pub fn request_loan(&mut self, needed_loan: &LoanRequest, wanted: f64) -> LoanRequest {
         let serial = self.next_serial;
         self.next_serial += 1;
@@ -202,7 +203,7 @@
             .accounts
             .entry(needed_loan.account.clone())
             .or_default();
-        // Answers that never came are forgotten, the oldest first.
+        // Drops the oldest requests that never got a reply.
         let excess = (state.pending_serials.len() + 1).saturating_sub(MAX_PENDING_REQUESTS);
         state.pending_serials.drain(..excess);
         state.pending_serials.push(serial);
@@ -213,7 +214,8 @@
         }
     }
 
-    /// Answers a question: what is lent is given up first, until after the borrower has stopped.
+    /// Replies to a request. A lent share is given up first, until after the borrower has stopped
+    /// using it.
     pub fn lend(&mut self, now: Millis, request: &LoanRequest, roll: u64) -> LoanReply {
         let account = request.account.clone();
         let is_same_roster_and_roll = request.epoch == self.epoch && request.roll == roll;
@@ -237,7 +239,7 @@
         }
     }
 
-    /// Takes an answer to a question asked at `asked`.
+    /// Applies the reply to a request that was sent at `requested_at`.
     pub fn accept_loan(&mut self, now: Millis, requested_at: Millis, reply: &LoanReply) {
         let expires_at = requested_at + reply.loan.min(self.options.loan);
         if expires_at <= now || reply.lent <= 0.0 {
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,4 +1,4 @@
-//! What is known of each upstream that requests may be routed to.
+//! What is known about each upstream that requests may be routed to.
 
 use std::net::SocketAddr;
 
@@ -6,43 +6,43 @@
 use indexmap::IndexMap;
 use serde::Serialize;
 
-/// A routable upstream, as the records and the evidence have it.
+/// A routable upstream, according to the store records and the evidence.
 #[derive(Clone, PartialEq, Debug, Serialize)]
 pub struct UpstreamFact {
-    /// Its name: the group's for a model, the VM's for a plain service.
+    /// Name of the upstream: the group's for a model, the VM's for a plain service.
     pub id: UpstreamId,
-    /// Where requests go.
+    /// Address that requests are sent to.
     pub addr: SocketAddr,
     /// Epoch of the group; zero for a plain service.
     pub epoch: u32,
-    /// Where it can be cut off.
+    /// Failure domain of the upstream.
     pub failure_domain: FailureDomain,
-    /// When the oldest evidence for it was asked for.
+    /// When the oldest evidence about the upstream was requested.
     pub evidence_at: Millis,
-    /// Requests its last report had as running or queued.
+    /// Number of running and queued requests in the last report.
     pub reported: u32,
-    /// When that report was asked for.
+    /// When that report was requested.
     pub reported_at: Millis,
 }
 
-/// What this entry VM itself knows of an upstream's load and speed.
+/// Load and latency of an upstream as observed by this entry VM.
 #[derive(Clone, Debug, Serialize)]
 pub struct ObservedLoad {
-    /// Requests sent from here and not ended.
+    /// Number of requests in flight from this VM.
     pub in_flight: u32,
-    /// Requests sent from here since the last report was asked for.
+    /// Number of requests sent from this VM since the last report was requested.
     pub sent_since_report: u32,
     /// Smoothed time to the first token, in milliseconds.
     pub latency: f64,
-    /// Answers that entered `latency`.
+    /// Number of answers included in `latency`.
     pub samples: u64,
-    /// Failures in a row.
+    /// Number of consecutive failures.
     pub failures: u32,
-    /// Set aside until then.
+    /// The upstream is ejected until this time.
     pub set_aside_until: Millis,
-    /// Share of its turns it takes while let back, 0 to 1.
+    /// Fraction of its requests that a readmitted upstream gets, 0 to 1.
     pub admission: f64,
-    /// Times in a row it was set aside.
+    /// Number of consecutive ejections.
     pub set_asides: u32,
 }
 
@@ -69,13 +69,13 @@
 }
 
 impl UpstreamTable {
-    /// Takes over the routable upstreams; loads of those that stay are kept.
+    /// Replaces the routable upstreams, and keeps the loads of those that remain.
     pub fn replace(&mut self, facts: Vec<UpstreamFact>) {
         let mut updated = IndexMap::with_capacity(facts.len());
         for mut fact in facts {
             let load = self.loads.entry(fact.id.clone()).or_default();
             let previous = self.facts.get(&fact.id);
-            // Evidence that came with answers may be newer than what was published.
+            // Evidence that arrived with answers may be newer than the published one.
             if let Some(previous) = previous.filter(|previous| previous.epoch == fact.epoch) {
                 fact.evidence_at = fact.evidence_at.max(previous.evidence_at);
             }
@@ -92,22 +92,22 @@
             .retain(|id, load| facts.contains_key(id) || load.in_flight > 0);
     }
 
-    /// The routable upstreams.
+    /// Returns the routable upstreams.
     pub fn facts(&self) -> &IndexMap<UpstreamId, UpstreamFact> {
         &self.facts
     }
 
-    /// What is known of their load.
+    /// Returns the observed loads.
     pub fn loads(&self) -> &IndexMap<UpstreamId, ObservedLoad> {
         &self.loads
     }
 
-    /// The load of one upstream.
+    /// Returns the load of one upstream.
     pub fn load_mut(&mut self, id: &UpstreamId) -> &mut ObservedLoad {
         self.loads.entry(id.clone()).or_default()
     }
 
-    /// Notes evidence that came with an answer.
+    /// Records evidence that arrived with an answer.
     pub fn record_evidence(&mut self, id: &UpstreamId, epoch: u32, requested_at: Millis) {
         if let Some(fact) = self.facts.get_mut(id)
             && fact.epoch == epoch
@@ -116,8 +116,8 @@
         }
     }
 
-    /// The load to compare: what was reported, corrected for what was sent since, and never less
-    /// than what is in flight from here.
+    /// Returns the load used for comparison: the reported one plus requests sent since, and at
+    /// least the number in flight from this VM.
     pub fn estimated_load(&self, id: &UpstreamId) -> f64 {
         let reported = self.facts.get(id).map_or(0, |fact| fact.reported);
         let Some(load) = self.loads.get(id) else {
