--- a/crates/routing/src/attempt.rs
+++ b/crates/routing/src/attempt.rs
@@ -1,18 +1,18 @@
-//! One attempt at one upstream, as a typestate: what may be done depends on whether anything was
-//! sent, and the compiler knows which.
+//! One attempt to send a request to an upstream, as a typestate: the compiler knows whether any
+//! bytes were sent, and so which operations are allowed.
 
 use std::marker::PhantomData;
 
 use bergamot_types::mutate::{Mutation, is_on};
 use bergamot_types::prelude::*;
 
-/// Nothing has left for the upstream.
+/// Nothing was sent to the upstream.
 #[derive(Debug)]
 pub struct NotSent;
-/// The first byte has left, or may have.
+/// The first byte was sent, or may have been.
 #[derive(Debug)]
 pub struct Sent;
-/// The upstream has answered in full.
+/// The upstream answered in full.
 #[derive(Debug)]
 pub struct Answered;
 
@@ -24,12 +24,12 @@
     state: PhantomData<State>,
 }
 
-/// How an attempt that was sent ended without a whole answer.
+/// How an attempt that was sent ended without a complete answer.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum SentOutcome {
-    /// The upstream said that it did not run the request.
+    /// The upstream stated that it did not run the request.
     RefusedNotRun,
-    /// The connection could not be made, so nothing was sent after all.
+    /// The connection could not be established, so nothing was sent.
     NeverConnected,
     /// The upstream broke off, timed out or failed.
     Broken,
@@ -38,14 +38,14 @@
 /// What may be done after a failed attempt.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum NextStep {
-    /// Another upstream may be tried.
+    /// The request may be sent to another upstream.
     MayRetry,
-    /// The request must not be sent again; it may have run.
+    /// The request must not be sent again, as it may have run.
     OutcomeUnknown,
 }
 
 impl Attempt<NotSent> {
-    /// Plans an attempt at `upstream`.
+    /// Creates an attempt at `upstream` that was not sent yet.
     pub fn plan(upstream: UpstreamId, is_idempotent: bool) -> Self {
         Self {
             upstream,
@@ -54,19 +54,20 @@
         }
     }
 
-    /// Notes that bytes are about to leave.
+    /// Marks the attempt as sent. Called before the first byte is written.
     pub fn send(self) -> Attempt<Sent> {
         self.into_state()
     }
 }
 
 impl Attempt<Sent> {
-    /// Notes the whole answer.
+    /// Marks the attempt as answered in full.
     pub fn answered(self) -> Attempt<Answered> {
         self.into_state()
     }
 
-    /// Says what may be done after a failure. Consumes the attempt: it is never sent again.
+    /// Returns what may be done after a failure. Consumes the attempt, so that it cannot be sent
+    /// again.
     pub fn failed(self, outcome: SentOutcome) -> NextStep {
         match outcome {
             SentOutcome::RefusedNotRun | SentOutcome::NeverConnected => NextStep::MayRetry,
@@ -78,7 +79,7 @@
 }
 
 impl<State> Attempt<State> {
-    /// The upstream tried.
+    /// Returns the upstream of this attempt.
     pub fn upstream(&self) -> &UpstreamId {
         &self.upstream
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,7 +1,7 @@
-//! What becomes of a request: admission under limits, the choice of an upstream, attempts,
-//! retries and resumption.
+//! Decisions about a request: admission under limits, selection of an upstream, attempts, retries
+//! and resumption.
 //!
-//! Decisions only: no I/O, no clock, and random numbers come from a seed that is handed in.
+//! The crate does no I/O and reads no clock. Random numbers derive from a seed or are passed in.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/routing/src/resume.rs
+++ b/crates/routing/src/resume.rs
@@ -1,9 +1,9 @@
-//! A broken token stream goes on at another upstream, each token once and in order.
+//! Resumes a broken token stream at another upstream. The caller gets each token once and in order.
 
 use bergamot_types::Invariant;
 use bergamot_types::mutate::{Mutation, is_on};
 
-/// How far a caller's stream has come.
+/// Progress of a caller's stream.
 #[derive(Clone, Debug, Default)]
 pub struct StreamResume {
     delivered: u64,
@@ -11,35 +11,35 @@
     is_done: bool,
 }
 
-/// What to do with a token that came in.
+/// What to do with a received token.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum TokenStep {
-    /// Pass it on.
+    /// Pass the token on to the caller.
     Deliver,
-    /// The caller has it already.
+    /// Drop the token, as the caller already has it.
     Skip,
-    /// A token between is missing: the upstream did not resume where it was asked to.
+    /// Tokens are missing before this one: the upstream did not resume at the requested offset.
     Gap,
 }
 
 impl StreamResume {
-    /// The offset the next token must have.
+    /// Returns the offset that the next token must have.
     pub fn next_offset(&self) -> u64 {
         self.delivered
     }
 
-    /// How often the stream was resumed.
+    /// Returns how often the stream was resumed.
     pub fn resumes(&self) -> u32 {
         self.resumes
     }
 
-    /// Notes that another upstream takes over, and returns the offset to ask it for.
+    /// Records that another upstream takes over, and returns the offset at which it must resume.
     pub fn resume(&mut self) -> u64 {
         self.resumes += 1;
         self.delivered
     }
 
-    /// Notes a token with its offset in the whole answer.
+    /// Records a token at its offset in the complete answer.
     pub fn accept_token(&mut self, offset: u64) -> TokenStep {
         if offset < self.delivered && !is_on(Mutation::ResendTokens) {
             return TokenStep::Skip;
@@ -54,7 +54,8 @@
         TokenStep::Deliver
     }
 
-    /// Notes the end, with the length the upstream claims. False if tokens are missing.
+    /// Records the end of the stream, with the length that the upstream states. Returns false if
+    /// tokens are missing.
     pub fn finish(&mut self, length: u64) -> bool {
         self.is_done = length == self.delivered;
         self.is_done
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -1,6 +1,7 @@
-//! How many extra calls to upstreams failures may cause.
+//! Limits how many additional upstream requests failures may cause.
 
-/// Earns a fraction of a retry with each request, so that retries stay a bounded share.
+/// Budget that earns a fraction of a retry with each request, so that retries remain a bounded
+/// share of the traffic.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     earned_per_request: f64,
@@ -12,7 +13,8 @@
 }
 
 impl RetryBudget {
-    /// A budget that lets retries be `share` of all requests, with a reserve of `most`.
+    /// Creates a budget that allows retries for `share` of all requests, with a reserve of
+    /// `capacity`.
     pub fn new(share: f64, capacity: f64) -> Self {
         Self {
             earned_per_request: share,
@@ -24,13 +26,13 @@
         }
     }
 
-    /// Counts a first attempt.
+    /// Records a first attempt.
     pub fn record_request(&mut self) {
         self.requests += 1;
         self.tokens = (self.tokens + self.earned_per_request).min(self.capacity);
     }
 
-    /// Takes one retry out of the budget.
+    /// Takes one retry from the budget. Returns false if the budget is used up.
     pub fn take(&mut self) -> bool {
         if self.tokens < 1.0 {
             self.rejected += 1;
@@ -41,7 +43,7 @@
         true
     }
 
-    /// First attempts, retries and refused retries so far.
+    /// Returns the number of first attempts, retries and rejected retries.
     pub fn counts(&self) -> (u64, u64, u64) {
         (self.requests, self.retries, self.rejected)
     }
--- a/crates/routing/src/returns.rs
+++ b/crates/routing/src/returns.rs
@@ -1,51 +1,53 @@
-//! When a caller that is refused should come back.
+//! Computes when a rejected caller should return.
 
 use bergamot_types::prelude::*;
 use indexmap::IndexMap;
 
-/// Weight of a new answer in the mean of answers' lengths: the last twenty count most.
+/// Weight of a new answer in the mean answer duration. The last twenty answers count most.
 const SAMPLE_WEIGHT: f64 = 0.05;
-/// Part of an answer's mean length after which a caller comes back to a full model, at the earliest and the
-/// latest. Half of what runs now has ended by the middle of it; drawn, so that those refused together do not come
-/// back together.
+/// Earliest and latest return to a full model, as fractions of the mean answer duration. Half of
+/// the running answers have ended by the middle of the range. The delay is random, so that callers
+/// rejected together do not return together.
 const RETURN_RANGE: (f64, f64) = (0.4, 0.8);
-/// Length taken for a model's answers until one was seen, as after the start of a fleet, when callers come back in
-/// crowds: 200 tokens at 6 ms. Without it all were told the shortest wait, and 1,030 requests were refused for want
-/// of room within 1.2 s of a start (195 VMs; counted from the logs of a day).
+/// Assumed answer duration of a model without samples: 200 tokens at 6 ms. Without it all callers
+/// got the shortest delay when a fleet started and they arrived in crowds, and 1,030 requests were
+/// rejected for lack of capacity within 1.2 s (195 VMs; counted from the logs of a day).
 const DEFAULT_ANSWER_MS: f64 = 1_200.0;
-/// The shortest wait.
+/// Shortest delay.
 const MIN_RETURN_DELAY: Millis = Millis(300);
-/// The longest wait: callers with five seconds give no more than a third of them.
+/// Longest delay. Callers with a deadline of five seconds wait no more than a third of it.
 const MAX_RETURN_DELAY: Millis = Millis(1_500);
 
-/// Part of the time a caller has left that it gives to a wait at most. Told more, it comes back sooner than it was
-/// told.
+/// Divisor of a caller's remaining time that gives the longest delay it accepts. A caller that is
+/// sent away for longer returns early anyway.
 const MAX_DELAY_DIVISOR: u64 = 3;
-/// Part of the wait after an outage that is drawn, so that those refused together do not come back together.
+/// Random fraction of the delay after an outage, so that callers rejected together do not return
+/// together.
 const RANDOM_FRACTION: f64 = 0.5;
-/// When to come back to where another entry VM may serve: a new connection leads to it.
+/// Delay if another entry VM may serve the caller: a new connection leads to that VM.
 const OTHER_VM_RETURN_DELAY: Millis = Millis(100);
 
-/// The longest wait that a caller with so much time left keeps to.
+/// Returns the longest delay that a caller with this remaining time accepts.
 pub fn longest_delay(time_left: Millis) -> Millis {
     Millis(time_left.0 / MAX_DELAY_DIVISOR)
 }
 
-/// What keeps a VM from serving for a time, such as a store that is away.
+/// A period in which a VM cannot serve, for example because the store is unavailable.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct ServingOutage {
-    /// How long it has lasted.
+    /// How long the outage has lasted.
     pub duration: Millis,
-    /// Whether other entry VMs are known to be in it too.
+    /// Whether other entry VMs are known to be affected too.
     pub affects_other_vms: bool,
 }
 
 impl ServingOutage {
-    /// When a caller with so much time left should come back. `draw` is a random number.
+    /// Returns the delay for a caller with this remaining time. `random` is a random number.
     ///
-    /// Of outages that have lasted so long half last as long again, so that much is waited, within the caller's
-    /// patience: it comes back once or twice, and one that is refused again gets nothing. Where only this VM is
-    /// known to be in it, another one serves at once.
+    /// Half of the outages that have lasted for some time last as long again, so this is the delay,
+    /// within what the caller accepts. The caller returns once or twice, and fails if it is
+    /// rejected again. If only this VM is known to be affected, another one serves the caller at
+    /// once.
     pub fn return_delay(self, time_left: Millis, random: u64) -> Millis {
         let max_delay = longest_delay(time_left);
         if !self.affects_other_vms {
@@ -57,18 +59,18 @@
     }
 }
 
-/// How long answers take, by model.
+/// Durations of answers, by model.
 ///
-/// Against a wait of 0.3 s whatever the answers, 0.026 instead of 0.037 are refused for good where the load is as
-/// much as the leaders bear (`experiment::serving`).
+/// Compared with a fixed delay of 0.3 s, 0.026 of requests instead of 0.037 are rejected for good
+/// at a load that just fills the leaders (`experiment::serving`).
 #[derive(Debug, Default)]
 pub struct ReturnDelays {
-    /// Mean length of answers, in milliseconds.
+    /// Mean duration of answers, in milliseconds.
     mean_durations: IndexMap<ModelName, f64>,
 }
 
 impl ReturnDelays {
-    /// Notes a whole answer of a model that took so long from when it was sent.
+    /// Records the duration of a complete answer, counted from when its request was sent.
     pub fn record_answer(&mut self, model: &ModelName, duration: Millis) {
         let duration = duration.0 as f64;
         match self.mean_durations.get_mut(model) {
@@ -79,8 +81,8 @@
         }
     }
 
-    /// When to come back to a model whose leaders are full, or to a plain service, whose answers are short, if no
-    /// model is asked for. `draw` is a random number.
+    /// Returns the delay for a caller of a model whose leaders are full. Without a model, returns
+    /// the delay for a plain service, whose answers are short. `random` is a random number.
     pub fn delay_if_full(&self, model: Option<&ModelName>, random: u64) -> Millis {
         let Some(model) = model else {
             return MIN_RETURN_DELAY;
