--- a/crates/routing/tests/admission.rs
+++ b/crates/routing/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Overload: goodput stays, the urgent go first, accounts take turns.
+//! Behaviour under overload: goodput remains high, urgent requests go first, accounts take turns.
 
 use std::collections::BTreeMap;
 
@@ -18,7 +18,7 @@
     rate: u64,
 }
 
-/// Answered in time, by account.
+/// Returns the number of requests answered in time, by account.
 fn answered_in_time(loads: &[Load]) -> BTreeMap<&'static str, u64> {
     let mut queue = AdmissionQueue::new(PoolOptions {
         concurrency: SLOTS,
@@ -79,7 +79,7 @@
 
 #[test]
 fn overload_does_not_reduce_goodput() {
-    // Ten places of 100 ms carry 100 requests a second.
+    // Ten slots with 100 ms per request handle 100 requests a second.
     let goodput_at = |rate| {
         let load = Load {
             account: "a",
--- a/crates/routing/tests/assignment.rs
+++ b/crates/routing/tests/assignment.rs
@@ -1,4 +1,4 @@
-//! Leaders of groups are shared out over many entry VMs.
+//! Leaders of groups are assigned to many entry VMs.
 
 use bergamot_routing::{LeaderAssignment, RouteUpstream};
 use bergamot_types::prelude::*;
@@ -19,7 +19,7 @@
     vms: usize,
     leaders: usize,
     slots: u32,
-    /// Entry VMs that use each leader.
+    /// Number of entry VMs that use each leader.
     users: usize,
 }
 
--- a/crates/routing/tests/gate.rs
+++ b/crates/routing/tests/gate.rs
@@ -1,4 +1,4 @@
-//! Which requests an upstream takes.
+//! Which requests an upstream accepts.
 
 use bergamot_routing::{GateState, GateTable};
 use bergamot_types::prelude::*;
@@ -40,7 +40,7 @@
 
 struct BackoffCase {
     name: &'static str,
-    /// Ends of the rests that were asked for, one after the other.
+    /// Ends of the requested backoffs, in the order of the requests.
     backoff_ends: &'static [u64],
     checked_at: u64,
     expected: GateState,
@@ -132,7 +132,7 @@
         gates.state(&incarnation(), 0, Millis(20)),
         GateState::Leaving
     );
-    // Out of the directory and back again.
+    // The upstream is removed from the directory and listed again.
     gates.retain(|_| false, Millis(60_000));
     gates.retain(|_| true, Millis(90_000));
     assert!(gates.is_leaving(&incarnation()));
--- a/crates/routing/tests/latency.rs
+++ b/crates/routing/tests/latency.rs
@@ -1,4 +1,4 @@
-//! What the silence of a leader means, by how fast its model is seen to be.
+//! Verdicts on the inactivity of a leader, by the observed latency of its model.
 
 use bergamot_routing::{
     DispatchedRequest, LeaderInactivity, ModelLatencies, ModelLatency, StallNotice, StallTable,
@@ -6,7 +6,7 @@
 };
 use bergamot_types::prelude::*;
 
-/// An engine as its streams are seen: between which times its pauses and first events lie, in milliseconds.
+/// Ranges of the gaps and first events of an engine, in milliseconds.
 #[derive(Clone, Copy)]
 struct ObservedEngine {
     gaps: (u64, u64),
@@ -17,7 +17,7 @@
     gaps: (20, 36),
     first_events: (15, 40),
 };
-/// Its first events take ten times as long, its passes three times.
+/// First events take ten times as long as with the fast engine, and passes three times.
 const SLOW: ObservedEngine = ObservedEngine {
     gaps: (60, 108),
     first_events: (150, 400),
@@ -183,7 +183,8 @@
     }
 }
 
-/// Before anything was seen of a model, requests wait as long as callers do.
+/// Guards against giving up a leader too early before any latency is observed: requests then wait
+/// as long as callers do.
 #[test]
 fn a_leader_of_an_unobserved_model_is_not_judged_too_early() {
     let latencies = ModelLatencies::default();
@@ -200,17 +201,17 @@
 fn a_stall_expires_sooner_with_one_witness_than_with_two() {
     let notice = |witness| StallNotice { leader: 7, witness };
     let mut stalls = StallTable::default();
-    // One VM's streams stand still, told again a moment later.
+    // The streams of one VM are stalled, which it reports again a moment later.
     assert!(stalls.record(Millis(1_000), notice(1)));
     assert!(!stalls.record(Millis(1_020), notice(1)));
     assert!(stalls.record(Millis(1_110), notice(1)));
     assert!(stalls.is_stalled(Millis(2_100), 7) && !stalls.is_stalled(Millis(2_150), 7));
-    // Then another one's.
+    // Then the streams of another VM stall too.
     assert!(stalls.record(Millis(3_000), notice(1)));
     assert!(stalls.record(Millis(3_010), notice(2)));
     assert!(!stalls.record(Millis(3_020), notice(3)));
     assert!(stalls.is_stalled(Millis(8_000), 7));
-    // Something came from it.
+    // Data is received from the leader.
     stalls.clear(7);
     assert!(!stalls.is_stalled(Millis(8_000), 7));
 }
--- a/crates/routing/tests/monitor.rs
+++ b/crates/routing/tests/monitor.rs
@@ -1,4 +1,4 @@
-//! Which leader a request is sent to.
+//! Selection of the leader for a request.
 
 use bergamot_feed::PeerDescriptor;
 use bergamot_ports::EngineSpeed;
@@ -30,7 +30,7 @@
     }
 }
 
-/// A book of the only entry VM.
+/// Creates the monitor of the only entry VM.
 fn monitor() -> UpstreamMonitor {
     let own = PeerDescriptor {
         vm: "vm-1".to_owned(),
@@ -42,7 +42,7 @@
     monitor
 }
 
-/// What one leader has to do, or what is wrong with it.
+/// Load or fault of one leader.
 struct LeaderState {
     name: &'static str,
     domain: &'static str,
@@ -66,9 +66,9 @@
     name: &'static str,
     leaders: Vec<LeaderState>,
     has_begun_elsewhere: bool,
-    /// Those that a connection is open to.
+    /// Leaders to which an idle connection exists.
     idle: &'static [&'static str],
-    /// Those that are chosen by some draw; none where all are full.
+    /// Leaders selected for at least one random number; none if all are full.
     selected: &'static [&'static str],
 }
 
@@ -223,7 +223,7 @@
     }
 }
 
-/// A short request with nothing special about it.
+/// Criteria of a short request without special properties.
 fn short_criteria(home: &FailureDomain) -> UpstreamCriteria<'_> {
     UpstreamCriteria {
         priority: 0,
@@ -238,10 +238,10 @@
     }
 }
 
-/// What becomes of a connection, and whether its upstream is left alone 0.1 s after it began.
+/// Progress of connections, and whether their upstream is avoided 0.1 s after the first began.
 struct ConnectCase {
     name: &'static str,
-    /// Connections that are being set up, and those that have ended.
+    /// Number of connections that began, and of those that ended.
     started: u32,
     finished: u32,
     is_avoided: bool,
@@ -278,7 +278,7 @@
     for case in cases {
         let mut monitor = monitor();
         let pool = [leader("a", "east"), leader("b", "east")];
-        // So that the other one is taken only if this one is left alone.
+        // Makes leader `b` the second choice, so that it is selected only if `a` is avoided.
         monitor.record_sent(&pool[1].incarnation, None, 100, NOW);
         for _ in 0..case.started {
             monitor.record_connecting(&pool[0].incarnation, NOW);
@@ -295,17 +295,18 @@
 
 struct StallCase {
     name: &'static str,
-    /// What another VM finds the silence of leader `a` to mean.
+    /// The verdict of another VM on leader `a`.
     verdict: StallVerdict,
-    /// Whether a stream from there has begun.
+    /// Whether a stream from the leader has begun.
     has_begun: bool,
-    /// Whether the coordinator hears of it at once, again within a moment, and later.
+    /// Whether the coordinator is informed at once, again within a moment, and later.
     for_coordinator: [bool; 3],
-    /// Where this VM sends its next request.
+    /// The leader that this VM selects for its next request.
     selected: &'static str,
 }
 
-/// A leader that is only suspected goes on in three cases of five; callers of all VMs would crowd the others meanwhile.
+/// Guards against all VMs avoiding a leader that is only suspected. Three of five such leaders
+/// recover, and the callers of all VMs would overload the others in the meantime.
 #[test]
 fn all_vms_avoid_a_leader_only_once_its_streams_are_stalled() {
     let cases = [
@@ -346,7 +347,7 @@
         if case.has_begun {
             other.record_answer_begun(incarnation, 100);
         }
-        // So that the other one is taken only if this one is left alone.
+        // Makes leader `b` the second choice, so that it is selected only if `a` is avoided.
         own.record_sent(&pool[1].incarnation, None, 100, NOW);
         let first = other.record_stall_verdict(incarnation, case.verdict, 7, NOW);
         let again = other.record_stall_verdict(incarnation, case.verdict, 7, NOW + Millis(40));
--- a/crates/routing/tests/reach.rs
+++ b/crates/routing/tests/reach.rs
@@ -1,4 +1,4 @@
-//! Requests keep away from failure domains that are out of reach.
+//! Requests avoid failure domains that are unreachable.
 
 use bergamot_feed::PeerDescriptor;
 use bergamot_routing::{RouteUpstream, UpstreamChoice, UpstreamCriteria, UpstreamMonitor};
@@ -33,7 +33,7 @@
     };
     let mut monitor = UpstreamMonitor::new(own.clone());
     monitor.occupancy.set_peers([own]);
-    // The near leaders are busy, so that others are chosen while they can be.
+    // The near leaders are busy, so that others are selected while they are available.
     for leader in pool()
         .iter()
         .filter(|leader| leader.failure_domain.as_str() == HOME)
@@ -47,20 +47,20 @@
     monitor
 }
 
-/// What befalls leaders before a request comes at 1,000.
+/// An observation about a leader before the request at 1,000 ms.
 enum Observation {
-    /// A connection on its way since then.
+    /// A connection has been pending since this time.
     Connecting(u64),
-    /// A connection was not set up.
+    /// A connection failed at this time.
     Failed(u64),
-    /// Something came.
+    /// Data was received at this time.
     Received(u64),
 }
 
 struct ReachCase {
     name: &'static str,
     observations: &'static [(&'static str, Observation)],
-    /// Other failure domains than this VM's that are chosen by some draw.
+    /// Failure domains other than home that are selected for at least one random number.
     selected: &'static [&'static str],
 }
 
@@ -137,7 +137,7 @@
     }
 }
 
-/// A cut that has ended is noticed by the next request that tries.
+/// Guards against a domain being avoided for good: the next request tries it after a while.
 #[test]
 fn an_unreachable_domain_is_not_avoided_for_good() {
     let (pool, mut monitor) = (pool(), monitor());
@@ -152,7 +152,7 @@
     assert_eq!(selected_domains(&monitor, &pool, 2_950), ["north", "west"]);
 }
 
-/// Other failure domains than this VM's that are chosen by some draw.
+/// Returns the failure domains other than home that are selected for at least one random number.
 fn selected_domains(monitor: &UpstreamMonitor, pool: &[RouteUpstream], now: u64) -> Vec<String> {
     let home = FailureDomain::new(HOME);
     let choices = (0..400_u64).map(|seed| {
--- a/crates/routing/tests/returns.rs
+++ b/crates/routing/tests/returns.rs
@@ -1,4 +1,4 @@
-//! When refused callers come back.
+//! Delays after which rejected callers return.
 
 use bergamot_routing::{ReturnDelays, ServingOutage, longest_delay};
 use bergamot_types::prelude::*;
@@ -8,7 +8,7 @@
     duration: u64,
     affects_other_vms: bool,
     time_left: u64,
-    /// The earliest and the latest return.
+    /// Shortest and longest delay.
     expected: (u64, u64),
 }
 
@@ -69,7 +69,8 @@
     }
 }
 
-/// Callers of a fleet whose store is away from 0 to 8 s and confirms nothing from 4.6 s on: each comes back once.
+/// Guards against callers that return before the store does. The store of the fleet is unavailable
+/// for the first 8 s, and no request is confirmed after 4.6 s. Each caller returns once.
 #[test]
 fn callers_do_not_return_before_the_store_is_available_again() {
     let outage_end = 8_000;
@@ -91,7 +92,8 @@
     assert!((0.42..0.46).contains(&adaptive_share), "{adaptive_share}");
 }
 
-/// Those that are refused together come back one after another, also before any answer was seen.
+/// Guards against callers of a full model that return all at once, also before any answer was
+/// observed.
 #[test]
 fn callers_of_a_full_model_do_not_return_together() {
     let model = ModelName::new("m");
