--- a/crates/proof/tests/control/requests.rs
+++ b/crates/proof/tests/control/requests.rs
@@ -71,7 +71,7 @@
         if is_complete {
             self.daemons[daemon]
                 .balancer
-                .note_evidence(upstream, epoch, probed_at);
+                .record_evidence(upstream, epoch, probed_at);
         }
     }
 
--- a/crates/proof/tests/requests.rs
+++ b/crates/proof/tests/requests.rs
@@ -8,7 +8,7 @@
 use bergamot_routing::attempt::NextStep;
 use bergamot_routing::resume::TokenStep;
 use bergamot_routing::{
-    Attempt, Borrow, Lend, LimitShares, SentOutcome, ShareOptions, StreamResume,
+    Attempt, LimitShares, LoanReply, LoanRequest, SentOutcome, ShareOptions, StreamResume,
 };
 use bergamot_types::mutate::Mutation;
 use bergamot_types::prelude::*;
@@ -31,7 +31,7 @@
             if random.random_bool(0.02) {
                 continue;
             }
-            match resume.take(offset) {
+            match resume.accept_token(offset) {
                 TokenStep::Deliver => delivered.push(offset),
                 TokenStep::Skip => {}
                 TokenStep::Gap => {
@@ -108,8 +108,8 @@
 #[derive(Clone)]
 enum Message {
     Tick(usize),
-    Borrow(usize, usize, Millis, Borrow),
-    Lend(usize, Millis, Lend),
+    Borrow(usize, usize, Millis, LoanRequest),
+    Lend(usize, Millis, LoanReply),
     Roster(usize, RosterRecord),
 }
 
@@ -167,10 +167,10 @@
                 if random.random_bool(0.02) {
                     paused_until[index] = now + Millis(random.random_range(100..7_000));
                 }
-                shares[index].note_demand(&account, demand[index]);
-                if let Some(wish) = shares[index].wish(clock(index), &account, 1) {
+                shares[index].record_demand(&account, demand[index]);
+                if let Some(wish) = shares[index].needed_loan(clock(index), &account, 1) {
                     let lender = random.random_range(0..MEMBER_COUNT);
-                    let borrow = shares[index].ask(&wish, wish.wanted);
+                    let borrow = shares[index].request_loan(&wish, wish.wanted);
                     let request = Message::Borrow(index, lender, clock(index), borrow);
                     if lender != index {
                         queue.send(now, &mut random, network, request);
@@ -195,7 +195,7 @@
                     Message::Lend(from, sent_at, lend),
                 );
             }
-            Message::Lend(to, sent_at, lend) => shares[to].take_lend(clock(to), sent_at, &lend),
+            Message::Lend(to, sent_at, lend) => shares[to].accept_loan(clock(to), sent_at, &lend),
         }
         // A paused member sends no requests, so its share is not in use.
         let running = (0..MEMBER_COUNT).filter(|index| paused_until[*index] <= now);
--- a/crates/routing/src/gate.rs
+++ b/crates/routing/src/gate.rs
@@ -1,22 +1,23 @@
-//! Whether an upstream takes requests now, as one entry VM knows it.
+//! Whether an upstream accepts requests now, as far as this entry VM knows.
 
 use bergamot_types::prelude::*;
 use indexmap::IndexMap;
 
-/// Time for which what an upstream said is kept after the directory last named it: one that was cut off from the directory
-/// comes back in the same run.
-const KEPT_TIME: Millis = Millis::from_secs(600);
+/// How long state is kept after an upstream was last listed in the directory. An upstream that was
+/// cut off from the directory may return as the same incarnation.
+const GATE_RETENTION: Millis = Millis::from_secs(600);
 
-/// Whether an upstream takes a request.
+/// Whether an upstream accepts a request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum GateState {
-    /// Nothing speaks against it.
+    /// The upstream accepts requests.
     Open,
-    /// It advertises a limit, and there is no permit for a request of this rank before this moment.
+    /// The upstream advertises a limit, and no permit is available for this priority before the
+    /// given time.
     Limited(Millis),
-    /// It asked this VM to back off until this moment.
+    /// The upstream asked this VM to back off until the given time.
     BackingOff(Millis),
-    /// It says that it leaves: this run of it takes nothing any more.
+    /// The upstream announced that it leaves. This incarnation accepts no more requests.
     Leaving,
 }
 
@@ -26,7 +27,7 @@
         matches!(self, Self::Open)
     }
 
-    /// Its name in logs.
+    /// Returns the name used in logs.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Open => "open",
@@ -36,7 +37,7 @@
         }
     }
 
-    /// When it may take requests again, where that is known.
+    /// Returns when the upstream may accept requests again, if known.
     pub const fn opens_at(self) -> Option<Millis> {
         match self {
             Self::Open | Self::Leaving => None,
@@ -45,20 +46,20 @@
     }
 }
 
-/// Requests of a rank that get no permit for a while.
+/// A priority for which no permit is available for a while.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-struct HeldRank {
+struct PriorityLimit {
     priority: u8,
     until: Millis,
 }
 
-/// What speaks against sending to one upstream.
+/// Reasons not to send requests to one upstream.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 struct UpstreamGate {
-    held: Vec<HeldRank>,
-    backs_off_until: Millis,
+    limits: Vec<PriorityLimit>,
+    backoff_until: Millis,
     is_leaving: bool,
-    /// When the directory last named it, as far as was looked.
+    /// When the directory was last seen to list the upstream.
     listed_at: Millis,
 }
 
@@ -67,31 +68,31 @@
         if self.is_leaving {
             return GateState::Leaving;
         }
-        if self.backs_off_until > now {
-            return GateState::BackingOff(self.backs_off_until);
+        if self.backoff_until > now {
+            return GateState::BackingOff(self.backoff_until);
         }
-        let held = self.held.iter();
-        // Where the more urgent wait the less urgent do.
-        let held = held.filter(|it| it.priority <= priority && it.until > now);
-        let until = held.map(|it| it.until).max();
+        let limits = self.limits.iter();
+        // A limit for an urgent priority also holds back all less urgent ones.
+        let limits = limits.filter(|limit| limit.priority <= priority && limit.until > now);
+        let until = limits.map(|limit| limit.until).max();
         until.map_or(GateState::Open, GateState::Limited)
     }
 
     fn is_idle(&self, now: Millis) -> bool {
         !self.is_leaving
-            && self.backs_off_until <= now
-            && self.held.iter().all(|it| it.until <= now)
+            && self.backoff_until <= now
+            && self.limits.iter().all(|limit| limit.until <= now)
     }
 }
 
-/// The upstreams that do not take all requests, by their runs.
+/// The upstreams that do not accept all requests, by incarnation.
 #[derive(Clone, Debug, Default)]
 pub struct GateTable {
     gates: IndexMap<UpstreamIncarnation, UpstreamGate>,
 }
 
 impl GateTable {
-    /// Whether an upstream takes a request of this rank.
+    /// Returns whether an upstream accepts a request of this priority.
     pub fn state(&self, incarnation: &UpstreamIncarnation, priority: u8, now: Millis) -> GateState {
         match self.gates.get(incarnation) {
             None => GateState::Open,
@@ -99,8 +100,9 @@
         }
     }
 
-    /// Sends nothing to an upstream until then that is no more urgent than this.
-    pub fn hold_back(
+    /// Holds back requests of this priority, and less urgent ones, from an upstream until the given
+    /// time.
+    pub fn limit_until(
         &mut self,
         incarnation: &UpstreamIncarnation,
         priority: u8,
@@ -108,13 +110,13 @@
         now: Millis,
     ) {
         let gate = self.gate_mut(incarnation, now);
-        gate.held
-            .retain(|it| it.until > now && it.priority != priority);
-        gate.held.push(HeldRank { priority, until });
+        gate.limits
+            .retain(|limit| limit.until > now && limit.priority != priority);
+        gate.limits.push(PriorityLimit { priority, until });
     }
 
-    /// Sends nothing to an upstream until then, whatever its rank. Of several such times the latest holds, as each was asked
-    /// for. Says whether this VM was not backing off from it already.
+    /// Holds back all requests from an upstream until the given time. If it asked for several
+    /// backoffs, the latest end applies. Returns whether this VM was not backing off already.
     pub fn back_off(
         &mut self,
         incarnation: &UpstreamIncarnation,
@@ -122,18 +124,19 @@
         now: Millis,
     ) -> bool {
         let gate = self.gate_mut(incarnation, now);
-        let is_new = gate.backs_off_until <= now;
-        gate.backs_off_until = gate.backs_off_until.max(until);
+        let is_new = gate.backoff_until <= now;
+        gate.backoff_until = gate.backoff_until.max(until);
         is_new
     }
 
-    /// Sends nothing to this run of an upstream any more. Says whether it had not said so before.
-    pub fn leave(&mut self, incarnation: &UpstreamIncarnation, now: Millis) -> bool {
+    /// Holds back all requests from this incarnation of an upstream for good. Returns whether it
+    /// was not known to be leaving.
+    pub fn mark_leaving(&mut self, incarnation: &UpstreamIncarnation, now: Millis) -> bool {
         let gate = self.gate_mut(incarnation, now);
         !std::mem::replace(&mut gate.is_leaving, true)
     }
 
-    /// Whether an upstream says that it leaves.
+    /// Whether an upstream announced that it leaves.
     pub fn is_leaving(&self, incarnation: &UpstreamIncarnation) -> bool {
         self.gates
             .get(incarnation)
@@ -146,29 +149,29 @@
         gate
     }
 
-    /// Upstreams that this VM backs off from now.
-    pub fn backing_off(&self, now: Millis) -> usize {
+    /// Returns the number of upstreams in backoff.
+    pub fn backing_off_count(&self, now: Millis) -> usize {
         let gates = self.gates.values();
-        gates.filter(|gate| gate.backs_off_until > now).count()
+        gates.filter(|gate| gate.backoff_until > now).count()
     }
 
-    /// Forgets that requests were held back, as the upstream advertises no limit any more.
-    pub fn release(&mut self, incarnation: &UpstreamIncarnation) {
+    /// Drops the limits of an upstream that no longer advertises one.
+    pub fn clear_limits(&mut self, incarnation: &UpstreamIncarnation) {
         if let Some(gate) = self.gates.get_mut(incarnation) {
-            gate.held.clear();
+            gate.limits.clear();
         }
     }
 
-    /// Forgets what has passed, and upstreams that the directory has not named for long.
-    pub fn retain<Keep>(&mut self, is_listed: Keep, now: Millis)
+    /// Drops expired entries, and upstreams that the directory has not listed for a long time.
+    pub fn retain<IsListed>(&mut self, is_listed: IsListed, now: Millis)
     where
-        Keep: Fn(&UpstreamIncarnation) -> bool,
+        IsListed: Fn(&UpstreamIncarnation) -> bool,
     {
         self.gates.retain(|incarnation, gate| {
             if is_listed(incarnation) {
                 gate.listed_at = now;
             }
-            !gate.is_idle(now) && now.since(gate.listed_at) < KEPT_TIME
+            !gate.is_idle(now) && now.since(gate.listed_at) < GATE_RETENTION
         });
     }
 }
--- a/crates/routing/src/share.rs
+++ b/crates/routing/src/share.rs
@@ -1,10 +1,11 @@
-//! This entry VM's share of each account's limit.
+//! This entry VM's share of each client account's limit.
 //!
-//! Every member of the roster has an equal base share, worked out from the record alone. A VM
-//! with more demand borrows from one with less, for a bounded time: the lender gives up what it
-//! lends before it answers and takes it back a margin after the borrower, whose clock started
-//! with the question, has stopped using it. So the shares never sum to more than the limit, in a
-//! partition or with lost or doubled messages. Lost answers only waste the share for that time.
+//! Every member of the roster has an equal base share, computed from the roster record alone. A VM
+//! with more demand borrows from one with less for a bounded time. The lender gives up the lent
+//! share before it replies. It takes the share back a margin after the borrower has stopped using
+//! it, whose clock started with the request. So the shares never sum to more than the limit, even
+//! during a partition or with lost or duplicated messages. A lost reply only wastes the share for
+//! that time.
 
 use bergamot_roster::RosterRecord;
 use bergamot_types::mutate::{Mutation, is_on};
@@ -12,15 +13,15 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-/// Times of lending.
+/// Timing of loans.
 #[derive(Clone, Debug)]
 pub struct ShareOptions {
-    /// How long a loan lasts for the borrower.
+    /// How long the borrower may use a loan.
     pub loan: Millis,
-    /// How much longer the lender does without it.
+    /// How much longer the lender goes without the lent share.
     pub margin: Millis,
-    /// Time between two questions for one account.
-    pub ask_period: Millis,
+    /// Shortest time between two requests for the same account.
+    pub request_period: Millis,
 }
 
 impl Default for ShareOptions {
@@ -28,57 +29,57 @@
         Self {
             loan: Millis(5_000),
             margin: Millis(1_000),
-            ask_period: Millis(500),
+            request_period: Millis(500),
         }
     }
 }
 
-/// A question for a loan.
+/// A request for a loan.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
-pub struct Borrow {
-    /// Which account's limit.
+pub struct LoanRequest {
+    /// The account whose limit is shared.
     pub account: ClientAccount,
-    /// Share of the limit that is wanted, 0 to 1.
+    /// Requested share of the limit, 0 to 1.
     pub wanted: f64,
-    /// The borrower's roster epoch.
+    /// Roster epoch of the borrower.
     pub epoch: u64,
-    /// The roll whose limits are meant.
+    /// The roll that defines the limits.
     pub roll: u64,
-    /// Names the question at the borrower, so that an answer counts once.
+    /// Identifies the request at the borrower, so that a reply is applied only once.
     pub serial: u64,
 }
 
-/// The answer to a [`Borrow`].
+/// The reply to a [`LoanRequest`].
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
-pub struct Lend {
-    /// Which account's limit.
+pub struct LoanReply {
+    /// The account whose limit is shared.
     pub account: ClientAccount,
-    /// The question's name.
+    /// The serial of the request.
     pub serial: u64,
     /// Share of the limit that is lent, 0 to 1.
     pub lent: f64,
-    /// How long, from when the question was asked.
+    /// Duration of the loan, counted from the request.
     pub loan: Millis,
 }
 
 #[derive(Clone, Debug)]
 struct Loan {
     share: f64,
-    until: Millis,
+    expires_at: Millis,
 }
 
 #[derive(Clone, Debug, Default)]
 struct AccountShare {
-    lent: Vec<Loan>,
-    borrowed: Vec<Loan>,
-    /// Smoothed share of the limit that is in use or asked for here.
+    lent_loans: Vec<Loan>,
+    borrowed_loans: Vec<Loan>,
+    /// Smoothed share of the limit that is used or requested on this VM.
     demand: f64,
-    next_ask: Millis,
-    /// Questions that were not answered yet.
-    open: Vec<u64>,
+    next_request_at: Millis,
+    /// Serials of requests without a reply.
+    pending_serials: Vec<u64>,
 }
 
-/// The shares of one entry VM.
+/// The limit shares of one entry VM.
 #[derive(Clone, Debug)]
 pub struct LimitShares {
     options: ShareOptions,
@@ -88,19 +89,19 @@
     accounts: IndexMap<ClientAccount, AccountShare>,
 }
 
-/// Share of its own that a lender always keeps.
-const KEPT_SHARE: f64 = 0.1;
-/// How much of a new sample enters the smoothed demand.
-const DEMAND_GAIN: f64 = 0.3;
-/// Share that a VM without a base share asks for.
-const NEWCOMER_SHARE: f64 = 0.05;
-/// Questions whose answers are waited for.
-const MAX_OPEN: usize = 32;
-/// Spare share kept above the demand before lending.
-const LEND_HEADROOM: f64 = 1.25;
+/// Fraction of the base share that a lender always keeps.
+const RESERVED_FRACTION: f64 = 0.1;
+/// Weight of a new sample in the smoothed demand.
+const DEMAND_WEIGHT: f64 = 0.3;
+/// Share that a VM without a base share requests.
+const NEW_MEMBER_SHARE: f64 = 0.05;
+/// Largest number of requests that await a reply.
+const MAX_PENDING_REQUESTS: usize = 32;
+/// Factor on the demand that gives the share a VM keeps for itself before it lends.
+const DEMAND_HEADROOM: f64 = 1.25;
 
 impl LimitShares {
-    /// The shares before any roster is known: none.
+    /// Creates the shares before any roster is known; all are zero.
     pub fn new(options: ShareOptions) -> Self {
         Self {
             options,
@@ -111,76 +112,81 @@
         }
     }
 
-    /// The equal base share of `entry`, 0 to 1.
+    /// Returns the equal base share of `entry`, 0 to 1.
     ///
-    /// A new member has none until every member has settled on an epoch it is in, as the others
-    /// may still divide by the smaller number; the number divided by is the largest of any open
-    /// epoch.
+    /// A new member has no base share until every member has settled on an epoch that includes it,
+    /// as the others may still divide by the smaller count. The divisor is the largest member count
+    /// of any epoch that is still in use.
     pub fn base_share(record: &RosterRecord, entry: &EntryId) -> f64 {
-        let is_settled = |m: &&bergamot_roster::Member| m.since <= record.settled;
+        let is_settled = |member: &&bergamot_roster::Member| member.since <= record.settled;
         let settled = record.members.iter().filter(is_settled);
-        let is_in = settled.clone().any(|member| member.entry == *entry);
-        let gone_since = record
+        let is_settled_member = settled.clone().any(|member| member.entry == *entry);
+        let departed_count = record
             .departed
             .iter()
             .filter(|departed| departed.member.since <= record.settled)
             .count();
-        let divisor = settled.count() + gone_since;
-        match is_in {
+        let divisor = settled.count() + departed_count;
+        match is_settled_member {
             true => 1.0 / divisor.max(1) as f64,
             false => 0.0,
         }
     }
 
-    /// Takes over a new roster.
-    pub fn set_roster(&mut self, record: &RosterRecord, me: &EntryId) {
+    /// Applies a new roster.
+    pub fn set_roster(&mut self, record: &RosterRecord, own: &EntryId) {
         self.epoch = record.epoch;
-        self.base = Self::base_share(record, me);
+        self.base = Self::base_share(record, own);
     }
 
-    /// Notes how much of the limit is asked for here, as a share of the whole limit.
-    pub fn note_demand(&mut self, account: &ClientAccount, share: f64) {
+    /// Records the demand on this VM, as a share of the whole limit.
+    pub fn record_demand(&mut self, account: &ClientAccount, share: f64) {
         let state = self.accounts.entry(account.clone()).or_default();
-        state.demand += (share - state.demand) * DEMAND_GAIN;
+        state.demand += (share - state.demand) * DEMAND_WEIGHT;
     }
 
-    /// The share this VM may use now, 0 to 1.
+    /// Returns the share that this VM may use now, 0 to 1.
     pub fn share(&self, now: Millis, account: &ClientAccount) -> f64 {
         let Some(state) = self.accounts.get(account) else {
             return self.base;
         };
-        let lent: f64 = live(&state.lent, now);
-        let borrowed: f64 = live(&state.borrowed, now);
+        let lent: f64 = active_share(&state.lent_loans, now);
+        let borrowed: f64 = active_share(&state.borrowed_loans, now);
         (self.base - lent).max(0.0) + borrowed
     }
 
-    /// The share this VM could lend now.
+    /// Returns the share that this VM could lend now.
     pub fn slack(&self, now: Millis, account: &ClientAccount) -> f64 {
         let Some(state) = self.accounts.get(account) else {
-            return self.base * (1.0 - KEPT_SHARE);
+            return self.base * (1.0 - RESERVED_FRACTION);
         };
-        let lent: f64 = live(&state.lent, now);
-        let needed = (state.demand * LEND_HEADROOM).max(self.base * KEPT_SHARE);
+        let lent: f64 = active_share(&state.lent_loans, now);
+        let needed = (state.demand * DEMAND_HEADROOM).max(self.base * RESERVED_FRACTION);
         (self.base - lent - needed).max(0.0)
     }
 
-    /// The loan to ask for now, if there is more demand than share.
-    pub fn wish(&mut self, now: Millis, account: &ClientAccount, roll: u64) -> Option<Borrow> {
-        let share = self.share(now + self.options.ask_period, account);
+    /// Returns the loan to request now if the demand exceeds the share.
+    pub fn needed_loan(
+        &mut self,
+        now: Millis,
+        account: &ClientAccount,
+        roll: u64,
+    ) -> Option<LoanRequest> {
+        let share = self.share(now + self.options.request_period, account);
         let epoch = self.epoch;
-        let is_newcomer = self.base == 0.0;
-        let state = match is_newcomer {
+        let is_new_member = self.base == 0.0;
+        let state = match is_new_member {
             true => self.accounts.entry(account.clone()).or_default(),
             false => self.accounts.get_mut(account)?,
         };
-        // Without a share of its own a VM asks before its first caller comes.
-        let least = if is_newcomer { NEWCOMER_SHARE } else { 0.0 };
-        let wanted = (state.demand * LEND_HEADROOM).max(least) - share;
-        if wanted <= 0.0 || now < state.next_ask {
+        // A VM without a base share requests a loan before its first caller arrives.
+        let min_share = if is_new_member { NEW_MEMBER_SHARE } else { 0.0 };
+        let wanted = (state.demand * DEMAND_HEADROOM).max(min_share) - share;
+        if wanted <= 0.0 || now < state.next_request_at {
             return None;
         }
-        state.next_ask = now + self.options.ask_period;
-        Some(Borrow {
+        state.next_request_at = now + self.options.request_period;
+        Some(LoanRequest {
             account: account.clone(),
             wanted: wanted.min(1.0),
             epoch,
@@ -189,69 +195,77 @@
         })
     }
 
-    /// The question for part of a wish, to be put to one lender.
-    pub fn ask(&mut self, wish: &Borrow, wanted: f64) -> Borrow {
+    /// Creates the request to one lender for part of a needed loan.
+    pub fn request_loan(&mut self, needed_loan: &LoanRequest, wanted: f64) -> LoanRequest {
         let serial = self.next_serial;
         self.next_serial += 1;
-        let state = self.accounts.entry(wish.account.clone()).or_default();
-        // Answers that never came are forgotten, the oldest first.
-        let excess = (state.open.len() + 1).saturating_sub(MAX_OPEN);
-        state.open.drain(..excess);
-        state.open.push(serial);
-        Borrow {
+        let state = self
+            .accounts
+            .entry(needed_loan.account.clone())
+            .or_default();
+        // Drops the oldest requests that never got a reply.
+        let excess = (state.pending_serials.len() + 1).saturating_sub(MAX_PENDING_REQUESTS);
+        state.pending_serials.drain(..excess);
+        state.pending_serials.push(serial);
+        LoanRequest {
             wanted,
             serial,
-            ..wish.clone()
+            ..needed_loan.clone()
         }
     }
 
-    /// Answers a question: what is lent is given up first, until after the borrower has stopped.
-    pub fn lend(&mut self, now: Millis, question: &Borrow, roll: u64) -> Lend {
-        let account = question.account.clone();
-        let is_agreed = question.epoch == self.epoch && question.roll == roll;
-        let lent = match is_agreed {
-            true => self.slack(now, &account).min(question.wanted.max(0.0)),
+    /// Replies to a request. A lent share is given up first, until after the borrower has stopped
+    /// using it.
+    pub fn lend(&mut self, now: Millis, request: &LoanRequest, roll: u64) -> LoanReply {
+        let account = request.account.clone();
+        let is_same_roster_and_roll = request.epoch == self.epoch && request.roll == roll;
+        let lent = match is_same_roster_and_roll {
+            true => self.slack(now, &account).min(request.wanted.max(0.0)),
             false => 0.0,
         };
         if lent > 0.0 && !is_on(Mutation::UseLentShare) {
             let state = self.accounts.entry(account.clone()).or_default();
-            state.lent.retain(|loan| loan.until > now);
-            state.lent.push(Loan {
+            state.lent_loans.retain(|loan| loan.expires_at > now);
+            state.lent_loans.push(Loan {
                 share: lent,
-                until: now + self.options.loan + self.options.margin,
+                expires_at: now + self.options.loan + self.options.margin,
             });
         }
-        Lend {
+        LoanReply {
             account,
-            serial: question.serial,
+            serial: request.serial,
             lent,
             loan: self.options.loan,
         }
     }
 
-    /// Takes an answer to a question asked at `asked`.
-    pub fn take_lend(&mut self, now: Millis, asked: Millis, answer: &Lend) {
-        let until = asked + answer.loan.min(self.options.loan);
-        if until <= now || answer.lent <= 0.0 {
+    /// Applies the reply to a request that was sent at `requested_at`.
+    pub fn accept_loan(&mut self, now: Millis, requested_at: Millis, reply: &LoanReply) {
+        let expires_at = requested_at + reply.loan.min(self.options.loan);
+        if expires_at <= now || reply.lent <= 0.0 {
             return;
         }
-        let state = self.accounts.entry(answer.account.clone()).or_default();
-        let Some(index) = state.open.iter().position(|open| *open == answer.serial) else {
+        let state = self.accounts.entry(reply.account.clone()).or_default();
+        let Some(index) = state
+            .pending_serials
+            .iter()
+            .position(|serial| *serial == reply.serial)
+        else {
             return;
         };
-        state.open.remove(index);
-        state.borrowed.retain(|loan| loan.until > now);
-        state.borrowed.push(Loan {
-            share: answer.lent,
-            until,
+        state.pending_serials.remove(index);
+        state.borrowed_loans.retain(|loan| loan.expires_at > now);
+        state.borrowed_loans.push(Loan {
+            share: reply.lent,
+            expires_at,
         });
     }
 }
 
-fn live(loans: &[Loan], now: Millis) -> f64 {
+fn active_share(loans: &[Loan], now: Millis) -> f64 {
     loans
         .iter()
-        .filter(|loan| loan.until > now)
+        .filter(|loan| loan.expires_at > now)
         .map(|loan| loan.share)
         .sum()
 }
