--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -37,7 +37,7 @@
 pub struct AccountQuota {
     /// Requests per second.
     pub rate: f64,
-    /// Requests that run at once. Fractions of all VMs add up to the limit of the account.
+    /// Requests that run at once. May be fractional: half a slot is one slot half of the time.
     pub concurrency: f64,
 }
 
--- a/crates/routing/src/load.rs
+++ b/crates/routing/src/load.rs
@@ -129,7 +129,7 @@
         failed_at.or_else(|| self.slow_connect_since(now))
     }
 
-    /// Records that the upstream is suspected to be stalled. Returns whether it was not already
+    /// Records that the upstream is suspected to be stalled. Returns false if this was already
     /// recorded a moment ago.
     pub(crate) fn record_suspicion(&mut self, now: Millis) -> bool {
         let is_due = self
--- a/crates/routing/src/resume.rs
+++ b/crates/routing/src/resume.rs
@@ -39,7 +39,7 @@
         self.delivered
     }
 
-    /// Records a token at its offset in the complete answer.
+    /// Records a token at its offset in the complete answer, and returns what to do with it.
     pub fn accept_token(&mut self, offset: u64) -> TokenStep {
         if offset < self.delivered && !is_on(Mutation::ResendTokens) {
             return TokenStep::Skip;
--- a/crates/routing/src/share.rs
+++ b/crates/routing/src/share.rs
@@ -2,10 +2,10 @@
 //!
 //! Every member of the roster has an equal base share, computed from the roster record alone. A VM
 //! with more demand borrows from one with less for a bounded time. The lender gives up the lent
-//! share before it replies. It takes the share back a margin after the borrower has stopped using
-//! it, whose clock started with the request. So the shares never sum to more than the limit, even
-//! during a partition or with lost or duplicated messages. A lost reply only wastes the share for
-//! that time.
+//! share before it replies. The borrower counts the time from its request, and the lender takes the
+//! share back a margin after the borrower has stopped using it. So the shares never sum to more
+//! than the limit, even during a partition or with lost or duplicated messages. A lost reply only
+//! wastes the share for that time.
 
 use bergamot_roster::RosterRecord;
 use bergamot_types::mutate::{Mutation, is_on};
--- a/crates/routing/tests/returns.rs
+++ b/crates/routing/tests/returns.rs
@@ -69,8 +69,8 @@
     }
 }
 
-/// Guards against callers that return before the store does. The store of the fleet is unavailable
-/// for the first 8 s, and no request is confirmed after 4.6 s. Each caller returns once.
+/// Guards against callers that return before the store is available. It is unavailable for the
+/// first 8 s, and no request is confirmed after 4.6 s. Each caller returns once.
 #[test]
 fn callers_do_not_return_before_the_store_is_available_again() {
     let outage_end = 8_000;
