--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -18,7 +18,7 @@
 use tokio::task::LocalSet;
 
 use crate::front::FrontContext;
-use crate::front::ends::{follow_ends, review_ends};
+use crate::front::ends::{follow_crashes, review_crashes};
 use crate::front::exchange::exchange;
 use crate::front::server::{accept_callers, accept_ready, follow_groups, sweep};
 use crate::groups::GroupsDuty;
@@ -205,8 +205,8 @@
     tokio::task::spawn_local(accept_ready(Rc::clone(&front), ready));
     tokio::task::spawn_local(sweep(Rc::clone(&front)));
     tokio::task::spawn_local(follow_groups(Rc::clone(&front)));
-    tokio::task::spawn_local(follow_ends(Rc::clone(&front)));
-    tokio::task::spawn_local(review_ends(Rc::clone(&front)));
+    tokio::task::spawn_local(follow_crashes(Rc::clone(&front)));
+    tokio::task::spawn_local(review_crashes(Rc::clone(&front)));
     tokio::task::spawn_local(exchange(
         Rc::clone(&front),
         peer,
--- a/crates/gateway/src/front/answer.rs
+++ b/crates/gateway/src/front/answer.rs
@@ -16,7 +16,7 @@
 pub struct BrokenAnswer;
 
 /// A part of an answer, or its breaking off.
-pub type AnswerPiece = Result<Bytes, BrokenAnswer>;
+pub type AnswerChunk = Result<Bytes, BrokenAnswer>;
 
 /// The body of an answer.
 pub type AnswerBody = UnsyncBoxBody<Bytes, BrokenAnswer>;
@@ -25,34 +25,34 @@
 pub type CallerAnswer = Response<AnswerBody>;
 
 /// What lasts until an answer has left, and is told when that was the whole one.
-pub trait AnswerHold {
+pub trait AnswerGuard {
     /// Every piece of the answer was handed to the caller's connection.
-    fn note_whole(&mut self);
+    fn mark_sent(&mut self);
 }
 
 /// A body that holds something until it was sent, or dropped.
-pub struct HeldBody<Held> {
+pub struct GuardedBody<Held> {
     body: AnswerBody,
     held: Held,
 }
 
-impl<Held> HeldBody<Held>
+impl<Held> GuardedBody<Held>
 where
-    Held: AnswerHold,
+    Held: AnswerGuard,
 {
     /// Holds `held` for as long as `body` lasts.
     pub fn new(body: AnswerBody, mut held: Held) -> Self {
         // A body without bytes is never asked for a piece.
         if body.is_end_stream() {
-            held.note_whole();
+            held.mark_sent();
         }
         Self { body, held }
     }
 }
 
-impl<Held> Body for HeldBody<Held>
+impl<Held> Body for GuardedBody<Held>
 where
-    Held: AnswerHold + Unpin,
+    Held: AnswerGuard + Unpin,
 {
     type Data = Bytes;
     type Error = BrokenAnswer;
@@ -63,7 +63,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BrokenAnswer>>> {
         let polled = Pin::new(&mut self.body).poll_frame(context);
         if matches!(polled, Poll::Ready(None)) || self.body.is_end_stream() {
-            self.held.note_whole();
+            self.held.mark_sent();
         }
         polled
     }
@@ -78,14 +78,14 @@
 }
 
 /// A body that is known in whole.
-pub fn whole_body(bytes: Bytes) -> AnswerBody {
+pub fn full_body(bytes: Bytes) -> AnswerBody {
     Full::new(bytes)
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
 /// A body that comes in pieces.
-pub fn relayed_body(pieces: mpsc::Receiver<AnswerPiece>) -> AnswerBody {
+pub fn streamed_body(pieces: mpsc::Receiver<AnswerChunk>) -> AnswerBody {
     let frames = futures::stream::unfold(pieces, |mut pieces| async move {
         let piece = pieces.recv().await?;
         Some((piece.map(Frame::data), pieces))
--- a/crates/gateway/src/front/attempt.rs
+++ b/crates/gateway/src/front/attempt.rs
@@ -83,9 +83,9 @@
     /// What was known of the request when it was sent.
     pub run: DispatchedRequest,
     /// Time that the connection took.
-    pub connected: Millis,
+    pub connect_latency: Millis,
     /// Time from there to the answer's head.
-    pub head_took: Millis,
+    pub head_latency: Millis,
     /// Counts the request at the upstream.
     pub flight: FlightGuard,
 }
@@ -171,7 +171,7 @@
         .connect(&upstream.incarnation, upstream.addr)
         .await;
     drop(connecting);
-    let connected = front.now().since(sent_at);
+    let connect_latency = front.now().since(sent_at);
     match &connection {
         Ok(_) => front
             .book
@@ -223,7 +223,7 @@
     }
     // Another upstream may have answered that another one was meant.
     if !facts.is_misdirected {
-        note_limit(front, upstream, &facts, sent_at + connected);
+        note_limit(front, upstream, &facts, sent_at + connect_latency);
         note_gate(front, &upstream.incarnation, &facts);
     }
     let back_off = facts
@@ -243,8 +243,8 @@
                 body,
                 connection,
                 run,
-                connected,
-                head_took: front.now().since(sent_at + connected),
+                connect_latency,
+                head_latency: front.now().since(sent_at + connect_latency),
                 flight,
             });
         }
--- a/crates/gateway/src/front/breaks.rs
+++ b/crates/gateway/src/front/breaks.rs
@@ -28,7 +28,7 @@
 ///
 /// Returns at once for nearly all. Only where an upstream ended under this request before, it is found out first
 /// whether this one has too.
-pub async fn note_break<Dialect>(
+pub async fn record_break<Dialect>(
     front: &Rc<FrontContext<Dialect>>,
     request: &SentRequest,
     upstream: &RouteUpstream,
@@ -70,7 +70,7 @@
 
 /// Notes that a request's caller left, or its time was up, while an upstream may run it. Without it such a request ended 19
 /// upstreams in a test in which others were allowed three (10 of them later than 3 s after the third).
-pub fn note_left<Dialect>(
+pub fn record_caller_left<Dialect>(
     front: &FrontContext<Dialect>,
     request: &SentRequest,
     incarnation: &UpstreamIncarnation,
@@ -92,14 +92,14 @@
 
 /// Notes when it is dropped that the caller of a request at an upstream has left before any event came, unless the request
 /// came to an end.
-pub struct LeftGuard<'a, Dialect> {
+pub struct CallerLeftGuard<'a, Dialect> {
     front: &'a FrontContext<Dialect>,
     request: &'a SentRequest,
     incarnation: &'a UpstreamIncarnation,
     has_ended: bool,
 }
 
-impl<'a, Dialect> LeftGuard<'a, Dialect> {
+impl<'a, Dialect> CallerLeftGuard<'a, Dialect> {
     /// Watches a request that is about to be sent.
     pub fn new(
         front: &'a FrontContext<Dialect>,
@@ -120,17 +120,17 @@
     }
 }
 
-impl<Dialect> Drop for LeftGuard<'_, Dialect> {
+impl<Dialect> Drop for CallerLeftGuard<'_, Dialect> {
     fn drop(&mut self) {
         if !self.has_ended {
-            note_left(self.front, self.request, self.incarnation, 0);
+            record_caller_left(self.front, self.request, self.incarnation, 0);
         }
     }
 }
 
 /// Notes that one upstream alone answered a request whole. An answer that was put together from several proves nothing:
 /// the last of them ran a part of it only.
-pub fn note_whole<Dialect>(
+pub fn record_whole<Dialect>(
     front: &FrontContext<Dialect>,
     request: &SentRequest,
     state: &CallState,
@@ -160,7 +160,7 @@
     let incarnation = &upstream.incarnation;
     match front.pool.connect_new(upstream.addr).await {
         Ok(connection) => front.pool.give_back(incarnation, connection, None),
-        Err(ConnectError::Refused(_)) => note_no_listener(front, incarnation).await,
+        Err(ConnectError::Refused(_)) => record_no_listener(front, incarnation).await,
         // Nobody answers: the directory may tell later.
         Err(ConnectError::Failed(_)) => {}
     }
@@ -169,7 +169,7 @@
 /// Notes that nothing listens where an upstream was, if requests were broken off there and its failure domain is within
 /// reach. What a partition refuses is no end: in one that did, seven requests were held back and one was put in
 /// quarantine within half a second (29 VMs cut off from 110 upstreams; from the logs of a day).
-pub async fn note_no_listener<Dialect>(
+pub async fn record_no_listener<Dialect>(
     front: &FrontContext<Dialect>,
     incarnation: &UpstreamIncarnation,
 ) {
--- a/crates/gateway/src/front/budget.rs
+++ b/crates/gateway/src/front/budget.rs
@@ -54,13 +54,13 @@
 
 /// Counts requests and repeats over a sliding window.
 #[derive(Debug)]
-pub struct RepeatBudget {
+pub struct RetryBudget {
     bounds: ServingBounds,
     sharers: SharerCount,
     services: IndexMap<ServiceName, ServiceWindow>,
 }
 
-impl RepeatBudget {
+impl RetryBudget {
     /// A budget that keeps to the bounds on repeats.
     pub fn new(bounds: ServingBounds) -> Self {
         Self {
@@ -77,7 +77,7 @@
     }
 
     /// Counts a request.
-    pub fn note_request(&mut self, now: Millis, service: &ServiceName) {
+    pub fn record_request(&mut self, now: Millis, service: &ServiceName) {
         let window = self.bounds.retry_window;
         let counts = self.counts(service);
         forget(&mut counts.requests, now, window);
@@ -85,7 +85,7 @@
     }
 
     /// Takes one repeat, if there is one left.
-    pub fn take(&mut self, now: Millis, service: &ServiceName) -> bool {
+    pub fn try_take(&mut self, now: Millis, service: &ServiceName) -> bool {
         let window = self.bounds.retry_window;
         let ratio = self.bounds.retry_ratio;
         let vms = self.sharers.at(now, window.max(FEWER_TIME));
@@ -102,7 +102,7 @@
     }
 
     /// Gives a repeat back that was taken at `taken_at` and reached no upstream. The bound is on what arrives.
-    pub fn give_back(&mut self, taken_at: Millis, service: &ServiceName) {
+    pub fn refund(&mut self, taken_at: Millis, service: &ServiceName) {
         let repeats = &mut self.counts(service).repeats;
         if let Some(index) = repeats.iter().rposition(|at| *at == taken_at) {
             repeats.remove(index);
--- a/crates/gateway/src/front/call.rs
+++ b/crates/gateway/src/front/call.rs
@@ -13,10 +13,10 @@
 
 use super::FrontContext;
 use super::admit::{admit, await_config, discard_body, read_body};
-use super::answer::{CallerAnswer, whole_body};
+use super::answer::{CallerAnswer, full_body};
 use super::attempt::{AttemptError, OpenReply, SentRequest};
-use super::breaks::{LeftGuard, note_break, note_whole};
-use super::deadline::{DeadlinePassed, before};
+use super::breaks::{CallerLeftGuard, record_break, record_whole};
+use super::deadline::{DeadlinePassed, with_deadline};
 use super::open::open;
 use super::plan::{PlannedSend, plan};
 use super::refusal::{log_refusal, refuse};
@@ -56,7 +56,7 @@
         }
     };
     let read = read_body(body, limit);
-    let read = before(front.shared.clock, state.deadline, read).await;
+    let read = with_deadline(front.shared.clock, state.deadline, read).await;
     let body = match read.unwrap_or(Err(ErrorKind::RequestTimeout)) {
         Ok(body) => body,
         Err(kind) => return log_refusal(&front, &id, Some(&state), kind.into()),
@@ -65,7 +65,7 @@
     front
         .budget
         .borrow_mut()
-        .note_request(arrived, &state.service);
+        .record_request(arrived, &state.service);
     if let Some(model) = &request.call.model {
         let prompt = request.call.prompt_tokens();
         front
@@ -175,8 +175,8 @@
     Dialect: CallerDialect + 'static,
 {
     let clock = front.shared.clock;
-    let guard = LeftGuard::new(front, request, &reply.upstream.incarnation);
-    let body = before(clock, state.deadline, reply.body.collect()).await;
+    let guard = CallerLeftGuard::new(front, request, &reply.upstream.incarnation);
+    let body = with_deadline(clock, state.deadline, reply.body.collect()).await;
     match &body {
         Ok(_) => guard.end(),
         Err(DeadlinePassed) => drop(guard),
@@ -193,7 +193,7 @@
     let body = match body {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) => {
-            note_break(front, request, &reply.upstream, 0, BreakCause::Closed).await;
+            record_break(front, request, &reply.upstream, 0, BreakCause::Closed).await;
             return broken(error.to_string());
         }
         Err(_) => return broken("the answer did not end before the deadline".to_owned()),
@@ -204,7 +204,7 @@
     if !is_failure && !reply.facts.is_signed && reply.head.status.is_success() {
         return broken("an answer without a signature".to_owned());
     }
-    let mut answer = CallerAnswer::new(whole_body(body));
+    let mut answer = CallerAnswer::new(full_body(body));
     *answer.status_mut() = reply.head.status;
     *answer.headers_mut() = front.dialect.answer_headers(&reply.head);
     let waited = front.now().since(state.arrived);
@@ -228,7 +228,7 @@
         }
         false => {
             front.book.borrow_mut().record_success(id);
-            note_whole(front, request, state);
+            record_whole(front, request, state);
             TryOutcome::Answered(answer)
         }
     }
--- a/crates/gateway/src/front/deadline.rs
+++ b/crates/gateway/src/front/deadline.rs
@@ -15,7 +15,7 @@
 pub struct DeadlinePassed;
 
 /// Waits for `work` until the deadline. Timers stand still while a VM is suspended, and its callers go on.
-pub async fn before<Work>(
+pub async fn with_deadline<Work>(
     clock: BootClock,
     deadline: Millis,
     work: Work,
--- a/crates/gateway/src/front/ends.rs
+++ b/crates/gateway/src/front/ends.rs
@@ -17,7 +17,7 @@
 const MAX_VIEW_AGE: Millis = Millis(2_500);
 
 /// Looks in the directory whether upstreams ended at which requests were broken off.
-pub async fn follow_ends<Dialect>(front: Rc<FrontContext<Dialect>>) {
+pub async fn follow_crashes<Dialect>(front: Rc<FrontContext<Dialect>>) {
     let mut changes = front.shared.view_changed.subscribe();
     while changes.changed().await.is_ok() {
         let view = front.shared.view.load_full();
@@ -47,7 +47,7 @@
 
 /// Looks once more at ends, some time after them. A partition may refuse connections as if nothing listened; the requests
 /// under which an upstream seemed to end are cleared of it then, as it has done nothing wrong but to be out of reach.
-pub async fn review_ends<Dialect>(front: Rc<FrontContext<Dialect>>) {
+pub async fn review_crashes<Dialect>(front: Rc<FrontContext<Dialect>>) {
     let mut fresh_since = front.now();
     loop {
         tokio::time::sleep(REVIEW_PERIOD).await;
--- a/crates/gateway/src/front/flight.rs
+++ b/crates/gateway/src/front/flight.rs
@@ -63,7 +63,7 @@
     }
 
     /// Counts that the answer has begun.
-    pub fn note_begun(&mut self) {
+    pub fn mark_begun(&mut self) {
         if !self.has_begun {
             self.has_begun = true;
             self.book
--- a/crates/gateway/src/front/gates.rs
+++ b/crates/gateway/src/front/gates.rs
@@ -49,11 +49,11 @@
     if is_new {
         log::info!("event=upstream_backs_off upstream={incarnation} time={time}");
     }
-    show_backing_off(front);
+    update_backing_off_metric(front);
 }
 
 /// Shows from how many upstreams this VM backs off now.
-pub fn show_backing_off<Dialect>(front: &FrontContext<Dialect>) {
+pub fn update_backing_off_metric<Dialect>(front: &FrontContext<Dialect>) {
     let resting = front.book.borrow().gates.backing_off_count(front.now());
     let metrics = &front.shared.metrics;
     metrics.set_state("backing_off_upstreams", resting as i64);
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -67,7 +67,7 @@
 
 use crate::shared::SharedState;
 use crate::stop::StopControl;
-use budget::RepeatBudget;
+use budget::RetryBudget;
 use permits::{PermitQueue, QuotaNews};
 use pool::ConnectionPool;
 
@@ -86,7 +86,7 @@
     /// When refused callers should come back.
     pub returns: RefCell<ReturnDelays>,
     /// Repeats sent.
-    pub budget: RefCell<RepeatBudget>,
+    pub budget: RefCell<RetryBudget>,
     /// Limits that upstreams advertise, and what is sent there by all VMs.
     pub quota: RefCell<QuotaState>,
     /// Requests that wait for a permit.
@@ -110,7 +110,7 @@
         still_news: mpsc::Sender<LeaderStill>,
         quota_news: mpsc::Sender<QuotaNews>,
     ) -> Self {
-        let budget = RepeatBudget::new(shared.bounds());
+        let budget = RetryBudget::new(shared.bounds());
         let quota = QuotaState::new(shared.site.vm.to_string(), rand::random());
         let place = PeerDescriptor {
             vm: shared.site.vm.to_string(),
--- a/crates/gateway/src/front/open.rs
+++ b/crates/gateway/src/front/open.rs
@@ -9,7 +9,7 @@
 
 use super::FrontContext;
 use super::attempt::{AttemptError, OpenReply, SentRequest, send};
-use super::breaks::{LeftGuard, note_break, note_no_listener};
+use super::breaks::{CallerLeftGuard, record_break, record_no_listener};
 use super::plan::{PlannedSend, give_repeat_back, runs_that_count};
 use super::quiet::{LOOK_PERIOD, look_quiet, report_quiet};
 use super::state::CallState;
@@ -36,7 +36,7 @@
     let run = sent_run(front, request, state, upstream);
     let permit = planned.permit;
     let sent = send(front, request, upstream, permit, run, left, resume_after);
-    let guard = LeftGuard::new(front, request, &upstream.incarnation);
+    let guard = CallerLeftGuard::new(front, request, &upstream.incarnation);
     let (outcome, cause) = match await_head(front, request, state, run, upstream, sent).await {
         Ok(outcome) => (outcome, BreakCause::Closed),
         Err(reason) => (Err(AttemptError::Broken(reason)), BreakCause::Stalled),
@@ -98,10 +98,10 @@
     match outcome {
         Err(AttemptError::NoListener(_)) => {
             let (front, incarnation) = (Rc::clone(front), upstream.incarnation.clone());
-            tokio::task::spawn_local(async move { note_no_listener(&front, &incarnation).await });
+            tokio::task::spawn_local(async move { record_no_listener(&front, &incarnation).await });
         }
         Err(error) if error.may_have_run() && front.now() < state.deadline => {
-            note_break(front, request, upstream, 0, cause).await;
+            record_break(front, request, upstream, 0, cause).await;
         }
         _ => {}
     }
--- a/crates/gateway/src/front/plan.rs
+++ b/crates/gateway/src/front/plan.rs
@@ -151,7 +151,7 @@
     if state.arrivals > 0 {
         let mut budget = front.budget.borrow_mut();
         budget.set_bounds(front.shared.bounds(), view.entries.len());
-        if !budget.take(now, &state.service) {
+        if !budget.try_take(now, &state.service) {
             note_not_sent_on(request, state, runs, "no repeat left");
             return Err(refused);
         }
@@ -164,7 +164,7 @@
 pub fn give_repeat_back<Dialect>(front: &FrontContext<Dialect>, state: &mut CallState) {
     if let Some(taken_at) = state.repeat_taken.take() {
         let mut budget = front.budget.borrow_mut();
-        budget.give_back(taken_at, &state.service);
+        budget.refund(taken_at, &state.service);
     }
 }
 
--- a/crates/gateway/src/front/refusal.rs
+++ b/crates/gateway/src/front/refusal.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 
 use super::FrontContext;
-use super::answer::{CallerAnswer, whole_body};
+use super::answer::{CallerAnswer, full_body};
 use super::state::CallState;
 
 /// When to come back where no upstream serves: about the time in which a group is repaired.
@@ -117,5 +117,5 @@
         retry_after: refusal.retry_after,
     };
     let (head, body) = front.dialect.refusal(&context).into_parts();
-    CallerAnswer::from_parts(head, whole_body(Bytes::from(body)))
+    CallerAnswer::from_parts(head, full_body(Bytes::from(body)))
 }
--- a/crates/gateway/src/front/relay.rs
+++ b/crates/gateway/src/front/relay.rs
@@ -9,9 +9,9 @@
 use tokio::sync::mpsc;
 
 use super::FrontContext;
-use super::answer::{AnswerPiece, BrokenAnswer, CallerAnswer, relayed_body};
+use super::answer::{AnswerChunk, BrokenAnswer, CallerAnswer, streamed_body};
 use super::attempt::{OpenReply, SentRequest};
-use super::breaks::{note_break, note_left, note_whole};
+use super::breaks::{record_break, record_caller_left, record_whole};
 use super::events::{EventSplitter, StreamEvent};
 use super::open::open;
 use super::plan::plan;
@@ -44,7 +44,7 @@
     Dialect: CallerDialect + 'static,
 {
     let (sender, receiver) = mpsc::channel(WAITING_EVENTS);
-    let mut answer = CallerAnswer::new(relayed_body(receiver));
+    let mut answer = CallerAnswer::new(streamed_body(receiver));
     *answer.status_mut() = reply.head.status;
     *answer.headers_mut() = front.dialect.answer_headers(&reply.head);
     let relay = EventRelay {
@@ -83,7 +83,7 @@
     front: Rc<FrontContext<Dialect>>,
     request: SentRequest,
     state: CallState,
-    sender: mpsc::Sender<AnswerPiece>,
+    sender: mpsc::Sender<AnswerChunk>,
     last_event: Option<u64>,
     last_at: Option<Millis>,
     delivered: u64,
@@ -223,7 +223,7 @@
                     book.record_progress(&reply.upstream.incarnation, now);
                     drop(book);
                     if let Some(data) = frame.data_ref() {
-                        reply.flight.note_begun();
+                        reply.flight.mark_begun();
                         splitter.push(data);
                     }
                 }
@@ -284,8 +284,8 @@
                     sends: self.state.sends(),
                     planned: reply.run.sent_at.since(self.state.arrived),
                     took: now.since(reply.run.sent_at),
-                    connected: reply.connected,
-                    head_took: reply.head_took,
+                    connected: reply.connect_latency,
+                    head_took: reply.head_latency,
                 };
                 let took = self.first.after.as_secs_f64();
                 metrics.first_piece.with_label_values(&kind).observe(took);
@@ -297,7 +297,7 @@
     fn finish(&self, reply: OpenReply) {
         let id = reply.upstream.incarnation.clone();
         self.front.book.borrow_mut().record_success(&id);
-        note_whole(&self.front, &self.request, &self.state);
+        record_whole(&self.front, &self.request, &self.state);
         if let Some(model) = &self.request.call.model {
             let took = self.front.now().since(reply.run.sent_at);
             self.front.returns.borrow_mut().record_answer(model, took);
@@ -336,12 +336,12 @@
             self.last_event.unwrap_or_default(),
         );
         let (request, upstream) = (&self.request, &reply.upstream);
-        note_break(&self.front, request, upstream, self.run_events, cause).await;
+        record_break(&self.front, request, upstream, self.run_events, cause).await;
     }
 
     fn note_left(&self, reply: &OpenReply) {
         let incarnation = &reply.upstream.incarnation;
-        note_left(&self.front, &self.request, incarnation, self.run_events);
+        record_caller_left(&self.front, &self.request, incarnation, self.run_events);
     }
 
     /// Opens the rest of the stream at another upstream, for as long as its caller is there. The error is how it ended.
--- a/crates/gateway/src/front/server.rs
+++ b/crates/gateway/src/front/server.rs
@@ -18,9 +18,9 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use super::FrontContext;
-use super::answer::{HeldBody, whole_body};
+use super::answer::{GuardedBody, full_body};
 use super::call::answer;
-use super::gates::show_backing_off;
+use super::gates::update_backing_off_metric;
 use super::head_timer::{HeadTimer, TimedStream};
 use super::limits::show_limited;
 use super::trace::{RequestTrace, TracedAnswer};
@@ -96,7 +96,7 @@
                 response.headers_mut().insert(CONNECTION, close);
             }
             let held = TracedAnswer::new(trace, arrived);
-            Ok::<_, Infallible>(response.map(|body| HeldBody::new(body, held)))
+            Ok::<_, Infallible>(response.map(|body| GuardedBody::new(body, held)))
         }
     });
     let connection = http1::Builder::new()
@@ -118,7 +118,7 @@
     timer: &HeadTimer,
 ) -> hyper::Result<()>
 where
-    Service: HttpService<Incoming, ResBody = HeldBody<TracedAnswer>>,
+    Service: HttpService<Incoming, ResBody = GuardedBody<TracedAnswer>>,
     Service::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
     let (overdue, silent) = (timer.overdue(), timer.silent());
@@ -163,7 +163,7 @@
                     true => StatusCode::OK,
                     false => StatusCode::SERVICE_UNAVAILABLE,
                 };
-                let mut response = Response::new(whole_body(Bytes::new()));
+                let mut response = Response::new(full_body(Bytes::new()));
                 *response.status_mut() = status;
                 async move { Ok::<_, Infallible>(response) }
             });
@@ -219,7 +219,7 @@
         front.book.borrow_mut().retain(is_listed, now);
         front.quota.borrow_mut().retain(is_listed, now);
         show_limited(&front);
-        show_backing_off(&front);
+        update_backing_off_metric(&front);
         let uses = front.demand.borrow_mut().demands(front.now());
         front.shared.demand.store(Arc::new(uses));
     }
--- a/crates/gateway/src/front/trace.rs
+++ b/crates/gateway/src/front/trace.rs
@@ -6,7 +6,7 @@
 
 use bergamot_types::prelude::*;
 
-use super::answer::AnswerHold;
+use super::answer::AnswerGuard;
 use super::head_timer::HeadGuard;
 use crate::shared::SharedState;
 
@@ -90,8 +90,8 @@
     }
 }
 
-impl AnswerHold for TracedAnswer {
-    fn note_whole(&mut self) {
+impl AnswerGuard for TracedAnswer {
+    fn mark_sent(&mut self) {
         self.trace.note_whole();
     }
 }
--- a/crates/gateway/tests/budget.rs
+++ b/crates/gateway/tests/budget.rs
@@ -1,6 +1,6 @@
 //! Repeats of all entry VMs together stay within the bound.
 
-use bergamot_gateway::budget::RepeatBudget;
+use bergamot_gateway::budget::RetryBudget;
 use bergamot_ports::ServingBounds;
 use bergamot_types::prelude::*;
 
@@ -47,18 +47,18 @@
     ];
     let service = ServiceName::new("s");
     for case in cases {
-        let mut budgets: Vec<RepeatBudget> =
-            (0..case.vms).map(|_| RepeatBudget::new(BOUNDS)).collect();
+        let mut budgets: Vec<RetryBudget> =
+            (0..case.vms).map(|_| RetryBudget::new(BOUNDS)).collect();
         let mut repeats: Vec<u64> = Vec::new();
         for at in 0..20_000_u64 {
             let now = Millis(100_000 + at);
             for budget in &mut budgets {
                 budget.set_bounds(BOUNDS, case.vms);
                 if case.requests > 0 && at.is_multiple_of((20_000 / case.requests).max(1)) {
-                    budget.note_request(now, &service);
+                    budget.record_request(now, &service);
                 }
                 // Every VM would like to repeat all the time.
-                if at.is_multiple_of(10) && budget.take(now, &service) {
+                if at.is_multiple_of(10) && budget.try_take(now, &service) {
                     repeats.push(at);
                 }
             }
@@ -127,8 +127,8 @@
     let mut broken: Vec<String> = Vec::new();
     for case in cases {
         let (at_first, later) = case.serving;
-        let mut budgets: Vec<RepeatBudget> =
-            (0..at_first).map(|_| RepeatBudget::new(BOUNDS)).collect();
+        let mut budgets: Vec<RetryBudget> =
+            (0..at_first).map(|_| RetryBudget::new(BOUNDS)).collect();
         let mut repeats: Vec<u64> = Vec::new();
         for at in (0..LENGTH).step_by(10) {
             let mut passed = case.counts.iter().filter(|count| count.from <= at);
@@ -138,7 +138,7 @@
             }
             for budget in &mut budgets {
                 budget.set_bounds(BOUNDS, vms);
-                if budget.take(Millis(100_000 + at), &service) {
+                if budget.try_take(Millis(100_000 + at), &service) {
                     repeats.push(at);
                 }
             }
@@ -164,17 +164,17 @@
 #[test]
 fn a_repeat_that_is_given_back_may_be_taken_again_once() {
     let service = ServiceName::new("s");
-    let mut budget = RepeatBudget::new(BOUNDS);
+    let mut budget = RetryBudget::new(BOUNDS);
     budget.set_bounds(BOUNDS, 1);
     let now = Millis(100_000);
-    let take_all = |budget: &mut RepeatBudget| {
-        let taken = std::iter::from_fn(|| budget.take(now, &service).then_some(()));
+    let take_all = |budget: &mut RetryBudget| {
+        let taken = std::iter::from_fn(|| budget.try_take(now, &service).then_some(()));
         taken.count()
     };
     assert_eq!(take_all(&mut budget), 80);
     // None was taken then.
-    budget.give_back(Millis(99_999), &service);
+    budget.refund(Millis(99_999), &service);
     assert_eq!(take_all(&mut budget), 0);
-    budget.give_back(now, &service);
+    budget.refund(now, &service);
     assert_eq!(take_all(&mut budget), 1);
 }
--- a/crates/gateway/tests/standstill.rs
+++ b/crates/gateway/tests/standstill.rs
@@ -22,8 +22,8 @@
 
     let mut streaming = enter(1_000);
     assert!(!has_begun(), "it may wait behind others");
-    streaming.note_begun();
-    streaming.note_begun();
+    streaming.mark_begun();
+    streaming.mark_begun();
     book.borrow_mut().record_progress(&leader, Millis(1_100));
     assert!(has_begun());
 
--- a/crates/gateway/tests/suspended.rs
+++ b/crates/gateway/tests/suspended.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bergamot_gateway::clock::BootClock;
-use bergamot_gateway::deadline::{DeadlinePassed, before};
+use bergamot_gateway::deadline::{DeadlinePassed, with_deadline};
 use bergamot_gateway::shared::SharedState;
 use bergamot_types::prelude::*;
 use support::{REVOKE_TIME, site, sources};
@@ -50,11 +50,14 @@
         SLEEPER.fetch_add(5_000, Ordering::SeqCst);
         std::future::pending::<()>().await;
     };
-    assert_eq!(before(clock, deadline, resumed).await, Err(DeadlinePassed));
+    assert_eq!(
+        with_deadline(clock, deadline, resumed).await,
+        Err(DeadlinePassed)
+    );
     assert!(began.elapsed() < Duration::from_millis(2_500));
     // One that has time left is waited for.
     let deadline = clock.now() + Millis(5_000);
-    assert_eq!(before(clock, deadline, async { 7 }).await, Ok(7));
+    assert_eq!(with_deadline(clock, deadline, async { 7 }).await, Ok(7));
 }
 
 /// Who may go by the clock that stands still while a VM is suspended, and why that harms nobody.
