--- a/crates/gateway/src/front/admit.rs
+++ b/crates/gateway/src/front/admit.rs
@@ -1,4 +1,4 @@
-//! Finds the route and the account of a call, and reads its body.
+//! Admission of a call: route lookup, authorization and reading of the request body.
 
 use std::rc::Rc;
 
@@ -14,55 +14,58 @@
 use super::state::CallState;
 use super::trace::RequestTrace;
 
-/// How long the rest of a refused request's body is waited for: callers who send it in pieces get its end out within that.
-const REFUSED_BODY_TIME: Millis = Millis(1_000);
-/// How much of it is read at most.
-const REFUSED_BODY_BYTES: usize = 1 << 20;
-/// The time a caller is taken to wait that does not say it; not tuned.
-const ASSUMED_DEADLINE: Millis = Millis(3_000);
-/// The longest that a request waits for the first configuration of a VM that has just started. Half of 195 VMs that
-/// started together had it 0.75 s after their start, and callers have a second to give before they leave.
-const START_WAIT: Millis = Millis(1_000);
-/// Time from its start in which a VM's first configuration can be expected: what a reader of the store needs, and
-/// those that take it from the reader. One that has none by then is cut off.
-const START_TIME: Millis = Millis(3_000);
+/// How long to read the rest of a rejected request's body. Long enough for callers that send the
+/// body in pieces to finish it.
+const REJECTED_BODY_TIMEOUT: Millis = Millis(1_000);
+/// Maximum number of bytes read from a rejected request's body.
+const MAX_REJECTED_BODY_BYTES: usize = 1 << 20;
+/// Deadline assumed for callers that send none.
+const DEFAULT_DEADLINE: Millis = Millis(3_000);
+/// Maximum time that a request waits for the first configuration of a VM that has just started.
+/// When 195 VMs start together, half of them have their configuration after 0.75 s, and callers
+/// give up after one second.
+const MAX_CONFIG_WAIT: Millis = Millis(1_000);
+/// Time after process start within which the first configuration is expected. Covers the VM that
+/// reads the store and the VMs that get their copy from it. A VM without a configuration by then is
+/// cut off from the store.
+const CONFIG_START_TIMEOUT: Millis = Millis(3_000);
 
-/// Waits for the first configuration of a VM that has just started, while it can be expected. The caller is served
-/// late then, instead of being refused: 1,890 requests were, in two seconds after 195 VMs had started together
-/// (counted from the logs of a day).
+/// Waits for the first configuration of a VM that has just started, as long as one can be expected.
+/// Serves the caller late instead of rejecting the request: without the wait, 195 VMs that start
+/// together reject 1,890 requests within two seconds.
 pub async fn await_config<Dialect>(front: &FrontContext<Dialect>, call: &CallerCall) {
-    let left = call.deadline.unwrap_or(ASSUMED_DEADLINE);
-    let wait = START_WAIT.min(longest_delay(left));
+    let time_left = call.deadline.unwrap_or(DEFAULT_DEADLINE);
+    let wait = MAX_CONFIG_WAIT.min(longest_delay(time_left));
     let shared = &front.shared;
     let mut changes = shared.view_changed.subscribe();
     let has_config = || shared.view.load().config.is_some();
-    if has_config() || shared.is_store_away() || shared.clock.age() > START_TIME {
+    if has_config() || shared.is_store_away() || shared.clock.age() > CONFIG_START_TIMEOUT {
         return;
     }
-    let config = async { while !has_config() && changes.changed().await.is_ok() {} };
-    // Without one the request is refused next.
-    let _ = tokio::time::timeout(wait.as_duration(), config).await;
+    let config_loaded = async { while !has_config() && changes.changed().await.is_ok() {} };
+    // On a timeout, `admit` rejects the request because there is no configuration.
+    let _ = tokio::time::timeout(wait.as_duration(), config_loaded).await;
 }
 
-/// Who calls, and how urgently.
+/// The account and the priority of a caller.
 pub struct AdmittedCaller {
-    /// Whose call it is.
+    /// The account that the call's key belongs to. `None` on public routes and without accounts.
     pub account: Option<ClientAccount>,
-    /// 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
 }
 
 /// A call that has a route and an account.
 pub struct AdmittedCall {
-    /// Where it stands.
+    /// State of the call.
     pub state: CallState,
-    /// Who calls.
+    /// The caller's account and priority.
     pub caller: AdmittedCaller,
-    /// The largest body that is taken, in bytes.
+    /// Maximum size of the request body in bytes.
     pub body_limit: usize,
 }
 
-/// Finds the route and the account of a call.
+/// Finds the route and the account of a call, or says why the call is rejected.
 pub fn admit<Dialect>(
     front: &FrontContext<Dialect>,
     call: &CallerCall,
@@ -72,19 +75,21 @@
 ) -> Result<AdmittedCall, CallRefusal> {
     let view = front.shared.view.load();
     let Some(config) = &view.config else {
-        let left = call.deadline.unwrap_or(ASSUMED_DEADLINE);
-        let wait = front.outage(arrived).return_delay(left, rand::random());
+        let time_left = call.deadline.unwrap_or(DEFAULT_DEADLINE);
+        let wait = front
+            .outage(arrived)
+            .return_delay(time_left, rand::random());
         return Err(CallRefusal::later(ErrorKind::NoBundle, wait));
     };
     let route = config.route(&call.host, path).ok_or(ErrorKind::NotFound)?;
-    let (account, rank) = authorize(config, route, call)?;
-    let service = draw_service(route, &call.id).ok_or(ErrorKind::NoUpstream)?;
+    let (account, granted_priority) = authorize(config, route, call)?;
+    let service = pick_service(route, &call.id).ok_or(ErrorKind::NoUpstream)?;
     let timeout = call
         .deadline
-        .map_or(route.timeout, |it| it.min(route.timeout));
-    let answer_end = front.stop.answer_end(arrived);
-    if answer_end.is_some_and(|end| arrived + timeout > end) {
-        // It could be cut before its end.
+        .map_or(route.timeout, |time_left| time_left.min(route.timeout));
+    let latest_answer_end = front.stop.answer_end(arrived);
+    if latest_answer_end.is_some_and(|latest| arrived + timeout > latest) {
+        // The process could stop before the answer is complete, which would abort it.
         let kind = ErrorKind::ShuttingDown;
         return Err(CallRefusal::later(kind, RETURN_STOPPING));
     }
@@ -103,13 +108,13 @@
         },
         caller: AdmittedCaller {
             account,
-            priority: rank.unwrap_or(route.priority),
+            priority: granted_priority.unwrap_or(route.priority),
         },
         body_limit: config.caller_limits.body_bytes,
     })
 }
 
-/// The account that a call's key leads to, and its rank.
+/// Returns the account that a call's key belongs to, and the priority granted to the key.
 pub fn authorize(
     config: &ServingConfig,
     route: &Route,
@@ -126,35 +131,40 @@
     }
 }
 
-/// The service of a route, drawn by weight. The same request gets the same one.
-pub fn draw_service(route: &Route, id: &RequestId) -> Option<ServiceName> {
-    let total: u64 = route.targets.iter().map(|it| u64::from(it.weight)).sum();
+/// Picks a service of a route by weight. The choice depends on the request id only, so that every
+/// attempt of a request gets the same service.
+pub fn pick_service(route: &Route, id: &RequestId) -> Option<ServiceName> {
+    let total: u64 = route
+        .targets
+        .iter()
+        .map(|target| u64::from(target.weight))
+        .sum();
     if total == 0 {
-        return route.targets.first().map(|it| it.service.clone());
+        return route.targets.first().map(|target| target.service.clone());
     }
-    let mut point = hash_bytes(id.as_str().as_bytes()) % total;
+    let mut weight_offset = hash_bytes(id.as_str().as_bytes()) % total;
     for target in &route.targets {
         let weight = u64::from(target.weight);
-        if point < weight {
+        if weight_offset < weight {
             return Some(target.service.clone());
         }
-        point -= weight;
+        weight_offset -= weight;
     }
     None
 }
 
-/// Reads the rest of a refused request. A connection that is closed with bytes unread is reset, and its caller never sees
-/// the refusal.
+/// Reads and drops the rest of a rejected request's body. Closing a connection with unread bytes
+/// resets it, and the caller would never see the error response.
 pub async fn discard_body(body: Incoming) {
-    let whole = Limited::new(body, REFUSED_BODY_BYTES).collect();
-    // Whatever comes of it, the refusal stands.
-    let _ = tokio::time::timeout(REFUSED_BODY_TIME.as_duration(), whole).await;
+    let read = Limited::new(body, MAX_REJECTED_BODY_BYTES).collect();
+    // The request is rejected whether or not its body could be read.
+    let _ = tokio::time::timeout(REJECTED_BODY_TIMEOUT.as_duration(), read).await;
 }
 
-/// Reads a body of so many bytes at most.
+/// Reads a body of at most `limit` bytes.
 pub async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, ErrorKind> {
     match Limited::new(body, limit).collect().await {
-        Ok(whole) => Ok(whole.to_bytes()),
+        Ok(body) => Ok(body.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(ErrorKind::TooLarge),
         Err(_) => Err(ErrorKind::BadRequest),
     }
--- a/crates/gateway/src/front/answer.rs
+++ b/crates/gateway/src/front/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Bodies of answers to callers.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -10,12 +10,13 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tokio::sync::mpsc;
 
-/// The answer broke off: its connection is closed, so that it does not look complete.
+/// The answer ended early. Closes the caller's connection, so that the answer does not look
+/// complete.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 #[error("the answer broke off")]
 pub struct BrokenAnswer;
 
-/// A part of an answer, or its breaking off.
+/// A chunk of an answer's body, or the error that ends it early.
 pub type AnswerChunk = Result<Bytes, BrokenAnswer>;
 
 /// The body of an answer.
@@ -24,35 +25,35 @@
 /// An answer to a caller.
 pub type CallerAnswer = Response<AnswerBody>;
 
-/// What lasts until an answer has left, and is told when that was the whole one.
+/// A value that lives as long as an answer's body and learns when the whole answer was sent.
 pub trait AnswerGuard {
-    /// Every piece of the answer was handed to the caller's connection.
+    /// Called when every chunk of the answer was handed to the caller's connection.
     fn mark_sent(&mut self);
 }
 
-/// A body that holds something until it was sent, or dropped.
-pub struct GuardedBody<Held> {
+/// A body that owns a guard until the body was sent or dropped.
+pub struct GuardedBody<Guard> {
     body: AnswerBody,
-    held: Held,
+    guard: Guard,
 }
 
-impl<Held> GuardedBody<Held>
+impl<Guard> GuardedBody<Guard>
 where
-    Held: AnswerGuard,
+    Guard: AnswerGuard,
 {
-    /// Holds `held` for as long as `body` lasts.
-    pub fn new(body: AnswerBody, mut held: Held) -> Self {
-        // A body without bytes is never asked for a piece.
+    /// Attaches `guard` to `body`.
+    pub fn new(body: AnswerBody, mut guard: Guard) -> Self {
+        // An empty body is never polled for a frame.
         if body.is_end_stream() {
-            held.mark_sent();
+            guard.mark_sent();
         }
-        Self { body, held }
+        Self { body, guard }
     }
 }
 
-impl<Held> Body for GuardedBody<Held>
+impl<Guard> Body for GuardedBody<Guard>
 where
-    Held: AnswerGuard + Unpin,
+    Guard: AnswerGuard + Unpin,
 {
     type Data = Bytes;
     type Error = BrokenAnswer;
@@ -63,7 +64,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BrokenAnswer>>> {
         let polled = Pin::new(&mut self.body).poll_frame(context);
         if matches!(polled, Poll::Ready(None)) || self.body.is_end_stream() {
-            self.held.mark_sent();
+            self.guard.mark_sent();
         }
         polled
     }
@@ -77,18 +78,18 @@
     }
 }
 
-/// A body that is known in whole.
+/// Returns a body of known bytes.
 pub fn full_body(bytes: Bytes) -> AnswerBody {
     Full::new(bytes)
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// A body that comes in pieces.
-pub fn streamed_body(pieces: mpsc::Receiver<AnswerChunk>) -> AnswerBody {
-    let frames = futures::stream::unfold(pieces, |mut pieces| async move {
-        let piece = pieces.recv().await?;
-        Some((piece.map(Frame::data), pieces))
+/// Returns a body that streams the chunks of a channel.
+pub fn streamed_body(chunks: mpsc::Receiver<AnswerChunk>) -> AnswerBody {
+    let frames = futures::stream::unfold(chunks, |mut chunks| async move {
+        let chunk = chunks.recv().await?;
+        Some((chunk.map(Frame::data), chunks))
     });
     StreamBody::new(frames).boxed_unsync()
 }
--- a/crates/gateway/src/front/attempt.rs
+++ b/crates/gateway/src/front/attempt.rs
@@ -16,7 +16,7 @@
 use super::FrontContext;
 use super::admit::AdmittedCaller;
 use super::flight::{ConnectGuard, FlightGuard};
-use super::gates::note_gate;
+use super::gates::record_availability;
 use super::limits::note_limit;
 use super::permits::{SendPermit, may_send};
 use super::pool::{ConnectError, UpstreamConnection};
@@ -224,7 +224,7 @@
     // Another upstream may have answered that another one was meant.
     if !facts.is_misdirected {
         note_limit(front, upstream, &facts, sent_at + connect_latency);
-        note_gate(front, &upstream.incarnation, &facts);
+        record_availability(front, &upstream.incarnation, &facts);
     }
     let back_off = facts
         .backoff
--- a/crates/gateway/src/front/deadline.rs
+++ b/crates/gateway/src/front/deadline.rs
@@ -1,4 +1,4 @@
-//! Waits that end at a deadline, also where the VM is suspended meanwhile.
+//! Waits with a deadline that also hold when the VM is suspended in between.
 
 use std::time::Duration;
 
@@ -6,15 +6,16 @@
 
 use crate::clock::BootClock;
 
-/// Time between two looks at the clock: a timer runs that much longer at most when the VM comes back. Callers wait for
-/// seconds, and a look costs one wake-up.
-const LOOK_PERIOD: Duration = Duration::from_millis(500);
+/// Time between two checks of the clock, which bounds how late a wait ends after the VM resumes.
+/// Callers wait for seconds, and each check costs one wake-up.
+const CLOCK_CHECK_PERIOD: Duration = Duration::from_millis(500);
 
 /// The deadline has passed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct DeadlinePassed;
 
-/// Waits for `work` until the deadline. Timers stand still while a VM is suspended, and its callers go on.
+/// Waits for `work` until the deadline. Timers stop while a VM is suspended, but its callers'
+/// deadlines do not, so the clock is checked again at short intervals.
 pub async fn with_deadline<Work>(
     clock: BootClock,
     deadline: Millis,
@@ -25,13 +26,13 @@
 {
     tokio::pin!(work);
     loop {
-        let left = deadline.since(clock.now());
-        if left == Millis::ZERO {
+        let time_left = deadline.since(clock.now());
+        if time_left == Millis::ZERO {
             return Err(DeadlinePassed);
         }
-        let pause = left.as_duration().min(LOOK_PERIOD);
-        if let Ok(done) = tokio::time::timeout(pause, &mut work).await {
-            return Ok(done);
+        let wait = time_left.as_duration().min(CLOCK_CHECK_PERIOD);
+        if let Ok(output) = tokio::time::timeout(wait, &mut work).await {
+            return Ok(output);
         }
     }
 }
--- a/crates/gateway/src/front/events.rs
+++ b/crates/gateway/src/front/events.rs
@@ -1,52 +1,52 @@
-//! Cuts a stream of bytes into whole events.
+//! Splits a byte stream into complete server-sent events.
 
 use bytes::{Bytes, BytesMut};
 
-/// The largest event that is taken, in bytes.
+/// Maximum size of an event in bytes.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// One whole event, with the blank line that ends it.
+/// One complete event, including the blank line that ends it.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct StreamEvent {
-    /// Its id, where it has one.
+    /// The event's id, if it has a numeric one.
     pub id: Option<u64>,
-    /// Its bytes as they came.
+    /// The event's bytes, unchanged.
     pub bytes: Bytes,
 }
 
-/// Collects bytes until an event is whole.
+/// Buffers bytes until an event is complete.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
 }
 
 impl EventSplitter {
-    /// Adds bytes.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether part of an event waits for its end.
+    /// Whether the buffer holds an incomplete event.
     pub fn has_partial(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Whether the event that is being collected is larger than allowed.
+    /// Whether the buffered event exceeds [`MAX_EVENT_BYTES`].
     pub fn is_overlong(&self) -> bool {
         self.buffer.len() > MAX_EVENT_BYTES
     }
 
-    /// The next whole event.
+    /// Removes and returns the next complete event.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
-        let end = event_end(&self.buffer)?;
-        let bytes = self.buffer.split_to(end).freeze();
+        let length = event_length(&self.buffer)?;
+        let bytes = self.buffer.split_to(length).freeze();
         let id = event_id(&bytes);
         Some(StreamEvent { id, bytes })
     }
 }
 
-/// Where the first event ends: after a blank line.
-fn event_end(bytes: &[u8]) -> Option<usize> {
+/// Returns the length of the first event, which ends after a blank line.
+fn event_length(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (index, byte) in bytes.iter().enumerate() {
         if *byte != b'\n' {
--- a/crates/gateway/src/front/flight.rs
+++ b/crates/gateway/src/front/flight.rs
@@ -1,4 +1,4 @@
-//! Counts of requests at upstreams that end with the request.
+//! Guards that count connects and requests in flight at upstreams until they are dropped.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -6,76 +6,80 @@
 use bergamot_routing::UpstreamMonitor;
 use bergamot_types::prelude::*;
 
-/// Counts a connection to an upstream that is being set up until dropped.
+/// Counts a connection that is being established to an upstream, until dropped.
 #[derive(Debug)]
 pub struct ConnectGuard<'a> {
-    book: &'a RefCell<UpstreamMonitor>,
+    monitor: &'a RefCell<UpstreamMonitor>,
     incarnation: &'a UpstreamIncarnation,
 }
 
 impl<'a> ConnectGuard<'a> {
-    /// Counts one that is about to be set up.
+    /// Counts a connection that is about to be established.
     pub fn enter(
-        book: &'a RefCell<UpstreamMonitor>,
+        monitor: &'a RefCell<UpstreamMonitor>,
         incarnation: &'a UpstreamIncarnation,
         now: Millis,
     ) -> Self {
-        book.borrow_mut().record_connecting(incarnation, now);
-        Self { book, incarnation }
+        monitor.borrow_mut().record_connecting(incarnation, now);
+        Self {
+            monitor,
+            incarnation,
+        }
     }
 }
 
 impl Drop for ConnectGuard<'_> {
     fn drop(&mut self) {
-        self.book
+        self.monitor
             .borrow_mut()
             .record_connect_finished(self.incarnation);
     }
 }
 
-/// Counts a request at an upstream until dropped.
+/// Counts a request in flight at an upstream, until dropped.
 #[derive(Debug)]
 pub struct FlightGuard {
-    book: Rc<RefCell<UpstreamMonitor>>,
+    monitor: Rc<RefCell<UpstreamMonitor>>,
     incarnation: UpstreamIncarnation,
-    /// Tokens of its prompt.
-    prompt: u32,
+    /// Number of prompt tokens.
+    prompt_tokens: u32,
     has_begun: bool,
 }
 
 impl FlightGuard {
-    /// Counts a request for a model with so many prompt tokens that is about to be sent.
+    /// Counts a request that is about to be sent.
     pub fn enter(
-        book: &Rc<RefCell<UpstreamMonitor>>,
+        monitor: &Rc<RefCell<UpstreamMonitor>>,
         incarnation: &UpstreamIncarnation,
         model: Option<&ModelName>,
-        prompt: u32,
+        prompt_tokens: u32,
         now: Millis,
     ) -> Self {
-        book.borrow_mut()
-            .record_sent(incarnation, model, prompt, now);
+        monitor
+            .borrow_mut()
+            .record_sent(incarnation, model, prompt_tokens, now);
         Self {
-            book: Rc::clone(book),
+            monitor: Rc::clone(monitor),
             incarnation: incarnation.clone(),
-            prompt,
+            prompt_tokens,
             has_begun: false,
         }
     }
 
-    /// Counts that the answer has begun.
+    /// Records that the answer has begun. Later calls have no effect.
     pub fn mark_begun(&mut self) {
         if !self.has_begun {
             self.has_begun = true;
-            self.book
+            self.monitor
                 .borrow_mut()
-                .record_answer_begun(&self.incarnation, self.prompt);
+                .record_answer_begun(&self.incarnation, self.prompt_tokens);
         }
     }
 }
 
 impl Drop for FlightGuard {
     fn drop(&mut self) {
-        let mut book = self.book.borrow_mut();
-        book.record_ended(&self.incarnation, self.has_begun, self.prompt);
+        let mut monitor = self.monitor.borrow_mut();
+        monitor.record_ended(&self.incarnation, self.has_begun, self.prompt_tokens);
     }
 }
--- a/crates/gateway/src/front/gates.rs
+++ b/crates/gateway/src/front/gates.rs
@@ -1,4 +1,4 @@
-//! What upstreams say in their answers of whether they take more requests.
+//! Backoff and leaving, which upstreams advertise in the headers of their answers.
 
 use bergamot_ports::ReplyFacts;
 use bergamot_quarantine::QuarantineEvent;
@@ -7,37 +7,39 @@
 use super::FrontContext;
 use super::breaks::handle;
 
-/// Takes in what an upstream's answer says of that. The VM's own clock goes on while it is suspended, as that time does.
-pub fn note_gate<Dialect>(
+/// Records the backoff and the leaving that an upstream's answer advertises. The clock of this VM
+/// keeps running while the VM is suspended, and so does the backoff.
+pub fn record_availability<Dialect>(
     front: &FrontContext<Dialect>,
     upstream: &UpstreamIncarnation,
     facts: &ReplyFacts,
 ) {
     match facts.backoff {
         Ok(None) => {}
-        Ok(Some(time)) => note_back_off(front, upstream, time),
+        Ok(Some(duration)) => record_backoff(front, upstream, duration),
         Err(err) => log::warn!("event=back_off_unreadable upstream={upstream} reason=\"{err}\""),
     }
     if facts.is_leaving {
-        note_leaving(front, upstream);
+        record_leaving(front, upstream);
     }
 }
 
-fn note_leaving<Dialect>(front: &FrontContext<Dialect>, incarnation: &UpstreamIncarnation) {
+fn record_leaving<Dialect>(front: &FrontContext<Dialect>, incarnation: &UpstreamIncarnation) {
     let now = front.now();
     if front.book.borrow_mut().gates.mark_leaving(incarnation, now) {
         log::info!("event=upstream_leaves upstream={incarnation}");
-        // What is cut at its end is cut by the end of a planned stop.
+        // Requests that are aborted when the upstream stops are aborted by a planned stop, not by a
+        // crash.
         handle(front, QuarantineEvent::Leaving(incarnation));
     }
 }
 
-fn note_back_off<Dialect>(
+fn record_backoff<Dialect>(
     front: &FrontContext<Dialect>,
     incarnation: &UpstreamIncarnation,
-    time: Millis,
+    duration: Millis,
 ) {
-    if time == Millis::ZERO {
+    if duration == Millis::ZERO {
         return;
     }
     let now = front.now();
@@ -45,16 +47,16 @@
         .book
         .borrow_mut()
         .gates
-        .back_off(incarnation, now + time, now);
+        .back_off(incarnation, now + duration, now);
     if is_new {
-        log::info!("event=upstream_backs_off upstream={incarnation} time={time}");
+        log::info!("event=upstream_backs_off upstream={incarnation} time={duration}");
     }
     update_backing_off_metric(front);
 }
 
-/// Shows from how many upstreams this VM backs off now.
+/// Sets the metric for the number of upstreams that this VM backs off from.
 pub fn update_backing_off_metric<Dialect>(front: &FrontContext<Dialect>) {
-    let resting = front.book.borrow().gates.backing_off_count(front.now());
+    let backing_off = front.book.borrow().gates.backing_off_count(front.now());
     let metrics = &front.shared.metrics;
-    metrics.set_state("backing_off_upstreams", resting as i64);
+    metrics.set_state("backing_off_upstreams", backing_off as i64);
 }
