--- a/crates/gateway/src/front/admit.rs
+++ b/crates/gateway/src/front/admit.rs
@@ -49,7 +49,8 @@
 
 /// The account and the priority of a caller.
 pub struct AdmittedCaller {
-    /// The account that the call's key belongs to. `None` on public routes and without accounts.
+    /// The account that the call's key belongs to. `None` if the configuration has no accounts, or
+    /// if a call on a public route has no known key.
     pub account: Option<ClientAccount>,
     /// Priority; 0 is the most urgent.
     pub priority: u8,
@@ -65,7 +66,7 @@
     pub body_limit: usize,
 }
 
-/// Finds the route and the account of a call, or says why the call is rejected.
+/// Finds the route and the account of a call. Fails with the rejection to send to the caller.
 pub fn admit<Dialect>(
     front: &FrontContext<Dialect>,
     call: &CallerCall,
--- a/crates/gateway/src/front/attempt.rs
+++ b/crates/gateway/src/front/attempt.rs
@@ -1,4 +1,4 @@
-//! One try at one upstream.
+//! A single attempt of a request at one upstream.
 
 use std::cell::OnceCell;
 
@@ -21,26 +21,26 @@
 use super::permits::{SendPermit, may_send};
 use super::pool::{ConnectError, UpstreamConnection};
 
-/// What stays the same over all attempts of a request.
+/// The parts of a request that are the same for all its attempts.
 pub struct SentRequest {
-    /// The method.
+    /// The request method.
     pub method: Method,
     /// Path and query as the caller sent them.
     pub uri: Uri,
-    /// The body.
+    /// The request body.
     pub body: Bytes,
     /// The caller's call.
     pub call: CallerCall,
-    /// Whose request it is.
+    /// The caller's account.
     pub account: Option<ClientAccount>,
-    /// 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Its print, once that was asked for.
+    /// Cache of [`Self::print`].
     print: OnceCell<RequestPrint>,
 }
 
 impl SentRequest {
-    /// A request that was read whole.
+    /// Creates a request whose body was read completely.
     pub fn new(
         head: RequestParts,
         body: Bytes,
@@ -58,8 +58,8 @@
         }
     }
 
-    /// What is the same for this request however often it comes. Worked out when first asked for: most requests need
-    /// none.
+    /// Returns the fingerprint, which is the same each time a caller sends this request. Computed
+    /// on the first call, since most requests need none.
     pub fn print(&self) -> RequestPrint {
         *self.print.get_or_init(|| {
             let path = self.uri.path_and_query().map_or("/", |path| path.as_str());
@@ -68,50 +68,51 @@
     }
 }
 
-/// An answer whose body is still to be read. Closes its connection when dropped.
+/// An answer whose head arrived and whose body is not read yet. Closes its connection when dropped.
 pub struct OpenReply {
     /// The upstream.
     pub upstream: RouteUpstream,
     /// The answer's head.
     pub head: ReplyParts,
-    /// What the head says.
+    /// The facts that the head advertises.
     pub facts: ReplyFacts,
     /// The answer's body.
     pub body: Incoming,
-    /// The connection, to be given back.
+    /// The connection, which returns to the pool after the body.
     pub connection: UpstreamConnection,
-    /// What was known of the request when it was sent.
+    /// When the request was sent, and the latency expected then.
     pub run: DispatchedRequest,
-    /// Time that the connection took.
+    /// Time from the start of the attempt until the connection was ready.
     pub connect_latency: Millis,
-    /// Time from there to the answer's head.
+    /// Time from the ready connection to the answer's head.
     pub head_latency: Millis,
-    /// Counts the request at the upstream.
+    /// Counts the request as in flight at the upstream.
     pub flight: FlightGuard,
 }
 
-/// Why an attempt has no answer.
+/// Why an attempt failed.
 #[derive(Debug, thiserror::Error)]
 pub enum AttemptError {
-    /// Nothing was sent.
+    /// Nothing was sent, for instance because the connection could not be established.
     #[error("nothing was sent: {0}")]
     NotSent(String),
-    /// The upstream took no more requests once it was connected to, so nothing was sent.
+    /// The upstream stopped accepting requests while the connection was established, so nothing was
+    /// sent.
     #[error("nothing was sent, the upstream takes no more for now")]
     HeldBack,
-    /// Nothing listens there, so nothing was sent.
+    /// Nothing listens at the address, so nothing was sent.
     #[error("nothing was sent, the connection was refused: {0}")]
     NoListener(String),
-    /// The upstream said that it did not run the request.
+    /// The upstream rejected the request with this status and advertised that it did not run it.
     #[error("refused unrun with status {0}")]
     Refused(u16),
-    /// The same, and that this VM is to back off for a time.
+    /// Like [`Self::Refused`], and the upstream asks this VM to back off for this time.
     #[error("refused unrun, to back off for {0} ms")]
     BackingOff(Millis),
-    /// Another run of the upstream listens there, or it leads no group.
+    /// Another incarnation of the upstream listens at the address, or the upstream leads no group.
     #[error("another upstream was meant")]
     Misdirected,
-    /// It was sent and may have run.
+    /// The request was sent and may have run.
     #[error("broken after it was sent: {0}")]
     Broken(String),
 }
@@ -130,7 +131,7 @@
         )
     }
 
-    /// The outcome's name in logs and metrics.
+    /// Returns the outcome's name in logs and metrics.
     pub fn as_str(&self) -> &'static str {
         match self {
             Self::NotSent(_) => "not_sent",
@@ -165,12 +166,12 @@
         request.call.prompt_tokens(),
         sent_at,
     );
-    let connecting = ConnectGuard::enter(&front.book, &upstream.incarnation, sent_at);
+    let connect_guard = ConnectGuard::enter(&front.book, &upstream.incarnation, sent_at);
     let connection = front
         .pool
         .connect(&upstream.incarnation, upstream.addr)
         .await;
-    drop(connecting);
+    drop(connect_guard);
     let connect_latency = front.now().since(sent_at);
     match &connection {
         Ok(_) => front
@@ -207,9 +208,9 @@
     *outgoing.uri_mut() = request.uri.clone();
     *outgoing.headers_mut() = front.dialect.outgoing_headers(&request.call, &context);
     let reply = connection.sender.try_send_request(outgoing).await;
-    let reply = reply.map_err(|mut failed| {
-        let reason = failed.error().to_string();
-        match failed.take_message() {
+    let reply = reply.map_err(|mut send_error| {
+        let reason = send_error.error().to_string();
+        match send_error.take_message() {
             Some(_) => AttemptError::NotSent(reason),
             None => AttemptError::Broken(reason),
         }
@@ -221,19 +222,19 @@
             "an answer to another request".to_owned(),
         ));
     }
-    // Another upstream may have answered that another one was meant.
+    // A misdirected answer comes from another upstream, so its headers do not apply to this one.
     if !facts.is_misdirected {
         note_limit(front, upstream, &facts, sent_at + connect_latency);
         record_availability(front, &upstream.incarnation, &facts);
     }
-    let back_off = facts
+    let backoff = facts
         .backoff
         .ok()
         .flatten()
-        .filter(|time| *time > Millis::ZERO);
-    let error = match (facts.is_misdirected, facts.is_not_run, back_off) {
+        .filter(|duration| *duration > Millis::ZERO);
+    let error = match (facts.is_misdirected, facts.is_not_run, backoff) {
         (true, _, _) => AttemptError::Misdirected,
-        (false, true, Some(time)) => AttemptError::BackingOff(time),
+        (false, true, Some(duration)) => AttemptError::BackingOff(duration),
         (false, true, None) => AttemptError::Refused(head.status.as_u16()),
         (false, false, _) => {
             return Ok(OpenReply {
@@ -249,12 +250,12 @@
             });
         }
     };
-    finish_refused(front, upstream, body, connection, facts.keep_alive);
+    drain_error_response(front, upstream, body, connection, facts.keep_alive);
     Err(error)
 }
 
-/// Reads the rest of a refusal, so that its connection can be kept.
-fn finish_refused<Dialect>(
+/// Reads the rest of an error response in the background, so that its connection can be reused.
+fn drain_error_response<Dialect>(
     front: &FrontContext<Dialect>,
     upstream: &RouteUpstream,
     body: Incoming,
@@ -264,13 +265,13 @@
     let pool = std::rc::Rc::clone(&front.pool);
     let id = upstream.incarnation.clone();
     tokio::task::spawn_local(async move {
-        let rest = http_body_util::BodyExt::collect(body);
-        let rest = tokio::time::timeout(REFUSAL_REST, rest).await;
-        if matches!(rest, Ok(Ok(_))) {
+        let read = http_body_util::BodyExt::collect(body);
+        let read = tokio::time::timeout(ERROR_BODY_TIMEOUT, read).await;
+        if matches!(read, Ok(Ok(_))) {
             pool.give_back(&id, connection, keep_alive);
         }
     });
 }
 
-/// Time for the rest of a refusal to come, after which its connection is closed.
-const REFUSAL_REST: std::time::Duration = std::time::Duration::from_millis(200);
+/// How long to wait for the rest of an error response before its connection is closed.
+const ERROR_BODY_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(200);
--- a/crates/gateway/src/front/breaks.rs
+++ b/crates/gateway/src/front/breaks.rs
@@ -1,4 +1,5 @@
-//! Notes requests that were broken off at upstreams, and finds out whether these have ended.
+//! Records requests that were interrupted at upstreams, and finds out whether the upstreams
+//! crashed.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,18 +17,20 @@
 use super::pool::ConnectError;
 use super::state::CallState;
 
-/// Other upstreams that are asked whether a failure domain is within reach. One harmful request ends several of a small
-/// domain in a second, but hardly just these.
-const WITNESSES: usize = 3;
-/// Time for which a request waits that may be to blame for ends, before it goes on. What other VMs saw of the last end is
-/// here by then: three datagrams, each through processes on an eighth of a core. It may blame another request, and it
-/// gives those that nothing tells apart leaders of their own.
-const NEWS_TIME: Duration = Duration::from_millis(30);
+/// Number of other upstreams that are probed to find out whether a failure domain is reachable. A
+/// single harmful request can crash several upstreams of a small domain within a second, but hardly
+/// exactly the probed ones.
+const PROBED_PEERS: usize = 3;
+/// How long a suspected request waits before its retry. By then the notices of other VMs about the
+/// last crash have arrived: three datagrams, each handled by a process with an eighth of a core.
+/// The notices may blame another request, and they give requests that cannot be told apart separate
+/// leaders.
+const CRASH_NOTICE_WAIT: Duration = Duration::from_millis(30);
 
-/// Notes that a request was broken off after it was sent and so many events had come from its run.
+/// Records that a request was interrupted after it was sent and `events` events had arrived.
 ///
-/// Returns at once for nearly all. Only where an upstream ended under this request before, it is found out first
-/// whether this one has too.
+/// Returns at once for nearly all requests. If an upstream has crashed before while it ran this
+/// request, waits until a probe shows whether this upstream crashed too.
 pub async fn record_break<Dialect>(
     front: &Rc<FrontContext<Dialect>>,
     request: &SentRequest,
@@ -38,7 +41,7 @@
     Dialect: 'static,
 {
     let incarnation = &upstream.incarnation;
-    if !is_staying(front, incarnation) {
+    if !is_listed_and_staying(front, incarnation) {
         return;
     }
     let print = request.print();
@@ -53,14 +56,14 @@
         },
     );
     if has_open_crash {
-        let (front_of_probe, upstream) = (Rc::clone(front), upstream.clone());
-        // On a task of its own, as it is to be found out also where the caller leaves meanwhile.
-        let probing =
-            tokio::task::spawn_local(async move { probe(&front_of_probe, &upstream).await });
-        let _ = probing.await;
+        let (probe_front, upstream) = (Rc::clone(front), upstream.clone());
+        // Runs as a separate task, so that the probe completes even if the caller disconnects.
+        let probe_task =
+            tokio::task::spawn_local(async move { probe(&probe_front, &upstream).await });
+        let _ = probe_task.await;
         let standing = front.shared.quarantine.lock().standing(print);
         if standing != RequestStanding::Good {
-            tokio::time::sleep(NEWS_TIME).await;
+            tokio::time::sleep(CRASH_NOTICE_WAIT).await;
         }
     } else if must_probe {
         let (front, upstream) = (Rc::clone(front), upstream.clone());
@@ -68,15 +71,16 @@
     }
 }
 
-/// Notes that a request's caller left, or its time was up, while an upstream may run it. Without it such a request ended 19
-/// upstreams in a test in which others were allowed three (10 of them later than 3 s after the third).
+/// Records that a request's caller disconnected, or that its deadline passed, while an upstream may
+/// run the request. Without this record, a harmful request whose callers leave crashes 19 upstreams
+/// where 3 are allowed, 10 of them more than 3 s after the third.
 pub fn record_caller_left<Dialect>(
     front: &FrontContext<Dialect>,
     request: &SentRequest,
     incarnation: &UpstreamIncarnation,
     events: u32,
 ) {
-    if is_staying(front, incarnation) {
+    if is_listed_and_staying(front, incarnation) {
         let print = request.print();
         let (run, cause) = (BrokenRun { print, events }, BreakCause::CallerLeft);
         handle(
@@ -90,13 +94,13 @@
     }
 }
 
-/// Notes when it is dropped that the caller of a request at an upstream has left before any event came, unless the request
-/// came to an end.
+/// Records, when dropped, that the caller of a request disconnected before any event arrived from
+/// the upstream. [`Self::finish`] disarms it.
 pub struct CallerLeftGuard<'a, Dialect> {
     front: &'a FrontContext<Dialect>,
     request: &'a SentRequest,
     incarnation: &'a UpstreamIncarnation,
-    has_ended: bool,
+    is_finished: bool,
 }
 
 impl<'a, Dialect> CallerLeftGuard<'a, Dialect> {
@@ -110,39 +114,40 @@
             front,
             request,
             incarnation,
-            has_ended: false,
+            is_finished: false,
         }
     }
 
-    /// The request came to an end that is accounted for elsewhere.
-    pub fn end(mut self) {
-        self.has_ended = true;
+    /// Disarms the guard: the attempt finished and its outcome is recorded elsewhere.
+    pub fn finish(mut self) {
+        self.is_finished = true;
     }
 }
 
 impl<Dialect> Drop for CallerLeftGuard<'_, Dialect> {
     fn drop(&mut self) {
-        if !self.has_ended {
+        if !self.is_finished {
             record_caller_left(self.front, self.request, self.incarnation, 0);
         }
     }
 }
 
-/// Notes that one upstream alone answered a request whole. An answer that was put together from several proves nothing:
-/// the last of them ran a part of it only.
+/// Records that a single upstream answered a request completely. An answer that was resumed at
+/// other upstreams does not count, because the last of them ran only a part of the request.
 pub fn record_whole<Dialect>(
     front: &FrontContext<Dialect>,
     request: &SentRequest,
     state: &CallState,
 ) {
-    let is_by_one = state.run_at.len() == 1 && request.call.resume_after.is_none();
-    if is_by_one && !front.shared.quarantine.lock().is_empty() {
+    let has_single_upstream = state.run_at.len() == 1 && request.call.resume_after.is_none();
+    if has_single_upstream && !front.shared.quarantine.lock().is_empty() {
         handle(front, QuarantineEvent::Answered(request.print()));
     }
 }
 
-/// Whether an upstream is in the directory and has said neither there nor in an answer that it leaves: the end of one that leaves is planned.
-pub fn is_staying<Dialect>(
+/// Whether an upstream is listed in the directory and announced neither there nor in an answer that
+/// it leaves. The stop of a leaving upstream is planned and not a crash.
+pub fn is_listed_and_staying<Dialect>(
     front: &FrontContext<Dialect>,
     incarnation: &UpstreamIncarnation,
 ) -> bool {
@@ -154,21 +159,23 @@
     is_listed && !front.book.borrow().gates.is_leaving(incarnation)
 }
 
-/// Finds out whether anything listens where a request was broken off. One connection for each end that is
-/// suspected; where something listens, the next request there uses it.
+/// Checks whether anything listens at an upstream where a request was interrupted. Opens one
+/// connection per suspected crash; if the connection is accepted, the next request to the upstream
+/// uses it.
 async fn probe<Dialect>(front: &FrontContext<Dialect>, upstream: &RouteUpstream) {
     let incarnation = &upstream.incarnation;
     match front.pool.connect_new(upstream.addr).await {
         Ok(connection) => front.pool.give_back(incarnation, connection, None),
         Err(ConnectError::Refused(_)) => record_no_listener(front, incarnation).await,
-        // Nobody answers: the directory may tell later.
+        // The address does not respond. The directory may provide evidence later.
         Err(ConnectError::Failed(_)) => {}
     }
 }
 
-/// Notes that nothing listens where an upstream was, if requests were broken off there and its failure domain is within
-/// reach. What a partition refuses is no end: in one that did, seven requests were held back and one was put in
-/// quarantine within half a second (29 VMs cut off from 110 upstreams; from the logs of a day).
+/// Records that nothing listens at the address of an upstream, if requests were interrupted there
+/// and its failure domain is reachable. A connection refused by a partition is no evidence of a
+/// crash: counting it, a partition between 29 VMs and 110 upstreams held back 7 requests and put
+/// 1 into quarantine within half a second.
 pub async fn record_no_listener<Dialect>(
     front: &FrontContext<Dialect>,
     incarnation: &UpstreamIncarnation,
@@ -176,9 +183,9 @@
     if !front.shared.quarantine.lock().may_have_crashed(incarnation) {
         return;
     }
-    if !is_domain_reached(front, incarnation).await {
+    if !is_domain_reachable(front, incarnation).await {
         log::info!(
-            "event=end_not_counted upstream={incarnation} reason=\"nothing of its failure domain listens\""
+            "event=end_not_counted upstream={incarnation} reason=\"no other upstream of its failure domain accepts connections\""
         );
         return;
     }
@@ -192,8 +199,9 @@
     );
 }
 
-/// Whether other upstreams of an upstream's failure domain take connections. True where there are none to ask.
-async fn is_domain_reached<Dialect>(
+/// Whether other upstreams in the failure domain of an upstream accept connections. True if there
+/// are no others.
+async fn is_domain_reachable<Dialect>(
     front: &FrontContext<Dialect>,
     incarnation: &UpstreamIncarnation,
 ) -> bool {
@@ -202,13 +210,15 @@
         let Some(entry) = view.upstreams.get(&incarnation.id) else {
             return true;
         };
-        let beside = view.upstreams.values().filter(|it| {
-            let is_near = it.failure_domain == entry.failure_domain;
-            is_near && it.incarnation.id != incarnation.id && it.state != UpstreamState::Draining
+        let domain_peers = view.upstreams.values().filter(|peer| {
+            let is_same_domain = peer.failure_domain == entry.failure_domain;
+            is_same_domain
+                && peer.incarnation.id != incarnation.id
+                && peer.state != UpstreamState::Draining
         });
-        beside
-            .map(|it| it.addr)
-            .choose_multiple(&mut rand::rng(), WITNESSES)
+        domain_peers
+            .map(|peer| peer.addr)
+            .choose_multiple(&mut rand::rng(), PROBED_PEERS)
     };
     for addr in &addrs {
         if front.pool.connect_new(*addr).await.is_ok() {
@@ -218,8 +228,8 @@
     addrs.is_empty()
 }
 
-/// Takes in what happened and does what follows, but for finding out whether an upstream ended: true where that is to
-/// be done.
+/// Passes an event to the quarantine state and performs the actions that follow. Returns whether
+/// the caller must probe the upstream, which this function leaves to it.
 pub fn handle<Dialect>(front: &FrontContext<Dialect>, event: QuarantineEvent<'_>) -> bool {
     let actions = front.shared.quarantine.lock().handle(front.now(), event);
     let mut must_probe = false;
@@ -230,8 +240,8 @@
                 incarnation,
                 evidence,
             } => {
-                let ends = &front.shared.metrics.upstream_ends;
-                ends.with_label_values(&[evidence.as_str()]).inc();
+                let crash_counter = &front.shared.metrics.upstream_ends;
+                crash_counter.with_label_values(&[evidence.as_str()]).inc();
                 log::info!("event=upstream_ended upstream={incarnation} evidence={evidence}");
             }
             QuarantineAction::LogStrike {
--- a/crates/gateway/src/front/budget.rs
+++ b/crates/gateway/src/front/budget.rs
@@ -35,23 +35,25 @@
     /// Number of entry VMs whose keys are known.
     known: usize,
     /// Number of entry VMs that the reserve is shared among. `None` until the first key is known.
-    counted: Option<usize>,
-    /// When `known` dropped below `counted`.
+    effective: Option<usize>,
+    /// When `known` dropped below `effective`.
     below_since: Option<Millis>,
 }
 
 impl SharerCount {
     /// Returns the number of sharers at `now`. A lower number applies only after `shrink_delay`.
     fn at(&mut self, now: Millis, shrink_delay: Millis) -> usize {
-        let is_below = self.counted.is_some_and(|counted| self.known < counted);
+        let is_below = self
+            .effective
+            .is_some_and(|effective| self.known < effective);
         self.below_since = is_below.then(|| self.below_since.unwrap_or(now));
         let is_settled = self
             .below_since
             .is_none_or(|since| now.since(since) >= shrink_delay);
         if is_settled && self.known > 0 {
-            self.counted = Some(self.known);
+            self.effective = Some(self.known);
         }
-        self.counted.unwrap_or(DEFAULT_VM_COUNT)
+        self.effective.unwrap_or(DEFAULT_VM_COUNT)
     }
 }
 
--- a/crates/gateway/src/front/call.rs
+++ b/crates/gateway/src/front/call.rs
@@ -1,4 +1,4 @@
-//! One request from its head to its answer.
+//! Handling of one request, from its head to its answer.
 
 use std::rc::Rc;
 use std::sync::atomic::Ordering;
@@ -24,7 +24,7 @@
 use super::state::CallState;
 use super::trace::RequestTrace;
 
-/// Answers a request.
+/// Admits a request, reads its body and returns the answer.
 pub async fn answer<Dialect>(
     front: Rc<FrontContext<Dialect>>,
     request: Request<Incoming>,
@@ -48,16 +48,17 @@
     let (state, caller) = match admitted {
         Ok(admitted) => (admitted.state, admitted.caller),
         Err(refusal) => {
-            // A caller who asks first whether to send it learns of the refusal instead.
+            // A caller that sent `Expect: 100-continue` has not sent its body yet and gets the
+            // error response instead of `100 Continue`.
             if !head.headers.contains_key(EXPECT) {
                 discard_body(body).await;
             }
             return log_refusal(&front, &id, None, refusal);
         }
     };
-    let read = read_body(body, limit);
-    let read = with_deadline(front.shared.clock, state.deadline, read).await;
-    let body = match read.unwrap_or(Err(ErrorKind::RequestTimeout)) {
+    let body_read = read_body(body, limit);
+    let body_read = with_deadline(front.shared.clock, state.deadline, body_read).await;
+    let body = match body_read.unwrap_or(Err(ErrorKind::RequestTimeout)) {
         Ok(body) => body,
         Err(kind) => return log_refusal(&front, &id, Some(&state), kind.into()),
     };
@@ -67,16 +68,16 @@
         .borrow_mut()
         .record_request(arrived, &state.service);
     if let Some(model) = &request.call.model {
-        let prompt = request.call.prompt_tokens();
+        let prompt_tokens = request.call.prompt_tokens();
         front
             .demand
             .borrow_mut()
-            .record_request(arrived, model, prompt);
+            .record_request(arrived, model, prompt_tokens);
     }
     serve(front, request, state).await
 }
 
-/// Carries an admitted request to its answer.
+/// Attempts an admitted request at upstreams until one answers or no further attempt is allowed.
 async fn serve<Dialect>(
     front: Rc<FrontContext<Dialect>>,
     request: SentRequest,
@@ -85,29 +86,29 @@
 where
     Dialect: CallerDialect + 'static,
 {
-    let mut failed: Option<CallerAnswer> = None;
+    let mut upstream_failure: Option<CallerAnswer> = None;
     loop {
         let planned = plan(&front, &request, &mut state).await;
         let planned = match planned {
             Ok(planned) => planned,
             Err(refusal) => {
                 let refusal = refusal.truthful(&state);
-                // The upstream's own failure says more than ours.
-                return match failed {
+                // The error response of an upstream is more specific than a rejection by this VM.
+                return match upstream_failure {
                     Some(answer) => answer,
                     None => log_refusal(&front, &request.call.id, Some(&state), refusal),
                 };
             }
         };
-        let tried = try_once(&front, &request, &mut state, &planned).await;
-        match tried {
-            TryOutcome::Opened(reply) => {
+        let outcome = attempt_once(&front, &request, &mut state, &planned).await;
+        match outcome {
+            AttemptOutcome::Opened(reply) => {
                 return relay_events(front, request, state, *reply).await;
             }
-            TryOutcome::Answered(answer) => return answer,
-            TryOutcome::OwnFailure(answer) if !state.route.is_retryable() => return answer,
-            TryOutcome::OwnFailure(answer) => failed = Some(answer),
-            TryOutcome::Failed(error) => {
+            AttemptOutcome::Answered(answer) => return answer,
+            AttemptOutcome::ErrorAnswer(answer) if !state.route.is_retryable() => return answer,
+            AttemptOutcome::ErrorAnswer(answer) => upstream_failure = Some(answer),
+            AttemptOutcome::Failed(error) => {
                 log::info!(
                     "event=attempt_failed request={} print={} route={} upstream={} attempt={} outcome={} reason=\"{error}\" waited={}",
                     request.call.id,
@@ -118,8 +119,8 @@
                     error.as_str(),
                     front.now().since(state.arrived),
                 );
-                let may_go_on = state.route.is_retryable() || !state.may_have_run();
-                if !may_go_on {
+                let may_retry = state.route.is_retryable() || !state.may_have_run();
+                if !may_retry {
                     let kind = match front.now() >= state.deadline {
                         true => ErrorKind::DeadlineAfterSend,
                         false => ErrorKind::UpstreamLost,
@@ -131,24 +132,24 @@
     }
 }
 
-/// What came of one try.
-pub enum TryOutcome {
-    /// A stream of events begins.
+/// The outcome of one attempt.
+pub enum AttemptOutcome {
+    /// The head of a successful event stream arrived.
     Opened(Box<OpenReply>),
-    /// The upstream's whole answer.
+    /// The upstream's complete answer.
     Answered(CallerAnswer),
-    /// The upstream's whole answer, which says that it failed.
-    OwnFailure(CallerAnswer),
-    /// No answer.
+    /// The upstream's complete answer with a 5xx status.
+    ErrorAnswer(CallerAnswer),
+    /// The attempt failed without an answer.
     Failed(AttemptError),
 }
 
-async fn try_once<Dialect>(
+async fn attempt_once<Dialect>(
     front: &Rc<FrontContext<Dialect>>,
     request: &SentRequest,
     state: &mut CallState,
     planned: &PlannedSend,
-) -> TryOutcome
+) -> AttemptOutcome
 where
     Dialect: CallerDialect + 'static,
 {
@@ -156,21 +157,21 @@
         Ok(reply) => {
             let is_stream = state.route.kind == RouteKind::Streaming;
             if is_stream && reply.head.status.is_success() {
-                return TryOutcome::Opened(Box::new(reply));
+                return AttemptOutcome::Opened(Box::new(reply));
             }
-            finish_whole(front, request, state, reply).await
+            read_whole_answer(front, request, state, reply).await
         }
-        Err(error) => TryOutcome::Failed(error),
+        Err(error) => AttemptOutcome::Failed(error),
     }
 }
 
-/// Reads the rest of an answer that is not a stream.
-async fn finish_whole<Dialect>(
+/// Reads the body of an answer that is not a stream, and records the outcome.
+async fn read_whole_answer<Dialect>(
     front: &Rc<FrontContext<Dialect>>,
     request: &SentRequest,
     state: &CallState,
     reply: OpenReply,
-) -> TryOutcome
+) -> AttemptOutcome
 where
     Dialect: CallerDialect + 'static,
 {
@@ -178,31 +179,31 @@
     let guard = CallerLeftGuard::new(front, request, &reply.upstream.incarnation);
     let body = with_deadline(clock, state.deadline, reply.body.collect()).await;
     match &body {
-        Ok(_) => guard.end(),
+        Ok(_) => guard.finish(),
         Err(DeadlinePassed) => drop(guard),
     }
     drop(reply.flight);
-    let broken = |reason: String| {
+    let interrupted = |reason: String| {
         let now = front.now();
         front
             .book
             .borrow_mut()
             .record_failure(&reply.upstream.incarnation, now);
-        TryOutcome::Failed(AttemptError::Broken(reason))
+        AttemptOutcome::Failed(AttemptError::Broken(reason))
     };
     let body = match body {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) => {
             record_break(front, request, &reply.upstream, 0, BreakCause::Closed).await;
-            return broken(error.to_string());
+            return interrupted(error.to_string());
         }
-        Err(_) => return broken("the answer did not end before the deadline".to_owned()),
+        Err(_) => return interrupted("the answer did not end before the deadline".to_owned()),
     };
     let (id, keep_alive) = (&reply.upstream.incarnation, reply.facts.keep_alive);
     front.pool.give_back(id, reply.connection, keep_alive);
     let is_failure = reply.head.status.is_server_error();
     if !is_failure && !reply.facts.is_signed && reply.head.status.is_success() {
-        return broken("an answer without a signature".to_owned());
+        return interrupted("an answer without a signature".to_owned());
     }
     let mut answer = CallerAnswer::new(full_body(body));
     *answer.status_mut() = reply.head.status;
@@ -218,18 +219,18 @@
         state.route.objective,
     );
     front.count(state.route.kind, outcome);
-    let first = &front.shared.metrics.first_piece;
-    let first = first.with_label_values(&[state.route.kind.as_str()]);
-    first.observe(waited.as_secs_f64());
+    let first_piece = &front.shared.metrics.first_piece;
+    let first_piece = first_piece.with_label_values(&[state.route.kind.as_str()]);
+    first_piece.observe(waited.as_secs_f64());
     match is_failure {
         true => {
             front.book.borrow_mut().record_failure(id, front.now());
-            TryOutcome::OwnFailure(answer)
+            AttemptOutcome::ErrorAnswer(answer)
         }
         false => {
             front.book.borrow_mut().record_success(id);
             record_whole(front, request, state);
-            TryOutcome::Answered(answer)
+            AttemptOutcome::Answered(answer)
         }
     }
 }
--- a/crates/gateway/src/front/ends.rs
+++ b/crates/gateway/src/front/ends.rs
@@ -1,4 +1,4 @@
-//! Looks in the directory whether upstreams have ended.
+//! Evidence of upstream crashes from the directory.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,21 +8,22 @@
 use bergamot_types::prelude::*;
 
 use super::FrontContext;
-use super::breaks::{handle, is_staying};
+use super::breaks::{handle, is_listed_and_staying};
 
-/// Time between two looks at ends that are to be reviewed; not tuned.
-const REVIEW_PERIOD: Duration = Duration::from_secs(1);
-/// The oldest view of the directory that counts as up to date: the time between two confirmations, and what a peer
-/// adds to it.
-const MAX_VIEW_AGE: Millis = Millis(2_500);
+/// Time between two checks for crashes that are due for review.
+const REVIEW_CHECK_PERIOD: Duration = Duration::from_secs(1);
+/// Maximum age of a directory view that counts as up to date: the time between two confirmations,
+/// plus the delay that a peer adds.
+const MAX_FRESH_VIEW_AGE: Millis = Millis(2_500);
 
-/// Looks in the directory whether upstreams ended at which requests were broken off.
+/// Checks on every change of the directory whether upstreams at which requests were interrupted
+/// have crashed.
 pub async fn follow_crashes<Dialect>(front: Rc<FrontContext<Dialect>>) {
     let mut changes = front.shared.view_changed.subscribe();
     while changes.changed().await.is_ok() {
         let view = front.shared.view.load_full();
-        let awaited = front.shared.quarantine.lock().pending_upstreams();
-        for incarnation in &awaited {
+        let pending = front.shared.quarantine.lock().pending_upstreams();
+        for incarnation in &pending {
             let evidence = match view.upstreams.get(&incarnation.id) {
                 None => CrashEvidence::Unlisted,
                 Some(entry) if entry.incarnation.is_newer_than(incarnation) => {
@@ -45,14 +46,15 @@
     }
 }
 
-/// Looks once more at ends, some time after them. A partition may refuse connections as if nothing listened; the requests
-/// under which an upstream seemed to end are cleared of it then, as it has done nothing wrong but to be out of reach.
+/// Reviews crashes some time after they were recorded. A partition may refuse connections as if
+/// nothing listened. If the directory still lists the upstream, it was only unreachable, and its
+/// requests are cleared of the crash.
 pub async fn review_crashes<Dialect>(front: Rc<FrontContext<Dialect>>) {
     let mut fresh_since = front.now();
     loop {
-        tokio::time::sleep(REVIEW_PERIOD).await;
+        tokio::time::sleep(REVIEW_CHECK_PERIOD).await;
         let now = front.now();
-        if front.shared.is_store_away() || front.shared.config_age(now) > MAX_VIEW_AGE {
+        if front.shared.is_store_away() || front.shared.config_age(now) > MAX_FRESH_VIEW_AGE {
             fresh_since = now;
         }
         let due = front
@@ -61,7 +63,7 @@
             .lock()
             .due_for_review(now, fresh_since);
         for incarnation in &due {
-            let is_listed = is_staying(&front, incarnation);
+            let is_listed = is_listed_and_staying(&front, incarnation);
             if is_listed {
                 log::info!("event=upstream_not_ended upstream={incarnation}");
             }
--- a/crates/gateway/src/front/exchange.rs
+++ b/crates/gateway/src/front/exchange.rs
@@ -1,5 +1,5 @@
-//! Datagrams between entry VMs: what each has in flight at leaders, leaders that stand still, doubts for the groups' duty,
-//! and requests under which upstreams ended.
+//! Datagrams between entry VMs: load reports, notices of stalled and suspected leaders, notices of
+//! crashes, and reports and permits for upstream limits.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,49 +21,51 @@
 use super::permits::{QuotaNews, settle};
 use crate::view::ClusterView;
 
-/// Periods in a row without anything in flight after which peers are told no more.
-const IDLE_PERIODS: u32 = 4;
+/// Number of consecutive periods without requests in flight after which no more load reports are
+/// sent.
+const MAX_IDLE_PERIODS: u32 = 4;
 
-/// A notice and the entry VM that it is for.
+/// A notice and the entry VM that receives it.
 struct AddressedNotice {
     vm: String,
     notice: PeerNotice,
 }
 
-/// Tells peers what is in flight from here, `crash_news` and `still_news`, and takes in what they tell, until the process ends. Doubts
-/// about leaders are passed on to the groups' duty by `doubts`.
+/// Exchanges datagrams with the other entry VMs until the process stops. Sends load reports and
+/// what arrives on the three receivers, handles and relays what peers send, and passes suspicions
+/// of leaders to the assembly of groups through `suspicions`.
 pub async fn exchange<Dialect>(
     front: Rc<FrontContext<Dialect>>,
     socket: UdpSocket,
-    doubts: mpsc::Sender<QuietNotice>,
-    mut crash_news: mpsc::Receiver<QuarantineRecord>,
-    mut still_news: mpsc::Receiver<LeaderStill>,
-    mut quota_news: mpsc::Receiver<QuotaNews>,
+    suspicions: mpsc::Sender<QuietNotice>,
+    mut crash_records: mpsc::Receiver<QuarantineRecord>,
+    mut leader_stalls: mpsc::Receiver<LeaderStill>,
+    mut quota_messages: mpsc::Receiver<QuotaNews>,
 ) {
-    let mut periods = tokio::time::interval(LOAD_REPORT_PERIOD.as_duration());
-    periods.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut report_ticks = tokio::time::interval(LOAD_REPORT_PERIOD.as_duration());
+    report_ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut changes = front.shared.view_changed.subscribe();
     let mut buffer = [0_u8; MAX_DATAGRAM_BYTES];
-    let mut idle = 0;
+    let mut idle_periods = 0;
     loop {
         let notices = tokio::select! {
             received = socket.recv_from(&mut buffer) => {
-                receive(&front, &buffer, received, &doubts)
+                handle_datagram(&front, &buffer, received, &suspicions)
             }
-            _ = periods.tick() => to_notices(tick(&front, &mut idle)),
-            Some(record) = crash_news.recv() => tell_crash(&front, &record),
-            Some(silence) = still_news.recv() => {
+            _ = report_ticks.tick() => load_notices(tick(&front, &mut idle_periods)),
+            Some(record) = crash_records.recv() => crash_notices(&front, &record),
+            Some(stall) = leader_stalls.recv() => {
                 let hops = front.book.borrow().occupancy.origin_hops(front.now());
-                address_silence(&front, hops, silence)
+                address_stall(&front, hops, stall)
             }
-            Some(news) = quota_news.recv() => tell_quota(&front, news),
+            Some(message) = quota_messages.recv() => quota_notices(&front, message),
             changed = changes.changed() => {
                 if changed.is_err() {
                     return;
                 }
                 let view = front.shared.view.load();
-                front.book.borrow_mut().occupancy.set_peers(places(&view));
-                let vms = places(&view).map(|place| (place.failure_domain, place.vm));
+                front.book.borrow_mut().occupancy.set_peers(peer_descriptors(&view));
+                let vms = peer_descriptors(&view).map(|peer| (peer.failure_domain, peer.vm));
                 front.quota.borrow_mut().set_vms(front.now(), vms);
                 Vec::new()
             }
@@ -75,8 +77,8 @@
     }
 }
 
-/// Where the entry VMs of a view are.
-fn places(view: &ClusterView) -> impl Iterator<Item = PeerDescriptor> {
+/// Returns descriptors of the entry VMs in a view.
+fn peer_descriptors(view: &ClusterView) -> impl Iterator<Item = PeerDescriptor> {
     view.entries.values().map(|entry| PeerDescriptor {
         vm: entry.vm.clone(),
         failure_domain: entry.failure_domain.clone(),
@@ -84,26 +86,26 @@
     })
 }
 
-fn tick<Dialect>(front: &FrontContext<Dialect>, idle: &mut u32) -> Vec<OccupancyAction> {
+fn tick<Dialect>(front: &FrontContext<Dialect>, idle_periods: &mut u32) -> Vec<OccupancyAction> {
     let now = front.now();
     let mut book = front.book.borrow_mut();
     let in_flight = book.in_flight();
-    *idle = match in_flight.is_empty() {
-        true => *idle + 1,
+    *idle_periods = match in_flight.is_empty() {
+        true => *idle_periods + 1,
         false => 0,
     };
-    // A collector goes on for as long as others ask it.
-    if *idle > IDLE_PERIODS && !book.occupancy.is_collector() {
+    // A collector keeps reporting as long as other VMs use it.
+    if *idle_periods > MAX_IDLE_PERIODS && !book.occupancy.is_collector() {
         return Vec::new();
     }
     book.occupancy.handle(now, OccupancyEvent::Tick(in_flight))
 }
 
-fn receive<Dialect>(
+fn handle_datagram<Dialect>(
     front: &FrontContext<Dialect>,
     buffer: &[u8],
     received: std::io::Result<(usize, SocketAddr)>,
-    doubts: &mpsc::Sender<QuietNotice>,
+    suspicions: &mpsc::Sender<QuietNotice>,
 ) -> Vec<AddressedNotice> {
     let length = match received {
         Ok((length, _)) => length,
@@ -117,20 +119,20 @@
             let now = front.now();
             let mut book = front.book.borrow_mut();
             let event = OccupancyEvent::Received(&notice);
-            to_notices(book.occupancy.handle(now, event))
+            load_notices(book.occupancy.handle(now, event))
         }
-        Ok(PeerNotice::Crash(notice)) => take_crash(front, &notice),
-        Ok(PeerNotice::Silent(notice)) => take_silence(front, &notice),
-        Ok(PeerNotice::Limit(notice)) => take_limit(front, &notice),
+        Ok(PeerNotice::Crash(notice)) => apply_crash(front, &notice),
+        Ok(PeerNotice::Silent(notice)) => apply_stall(front, &notice),
+        Ok(PeerNotice::Limit(notice)) => apply_limit(front, &notice),
         Ok(PeerNotice::PermitQuestion(question)) => {
-            answer_quota(front, QuotaEvent::PermitRequested(&question))
+            answer_permit_request(front, QuotaEvent::PermitRequested(&question))
         }
         Ok(PeerNotice::PermitAnswer(answer)) => {
             settle(front, &answer);
             Vec::new()
         }
         Ok(PeerNotice::Quiet(notice)) => {
-            if let Err(error) = doubts.try_send(notice) {
+            if let Err(error) = suspicions.try_send(notice) {
                 log::debug!("event=quiet_not_passed_on reason={error}");
             }
             Vec::new()
@@ -142,7 +144,7 @@
     }
 }
 
-fn to_notices(actions: Vec<OccupancyAction>) -> Vec<AddressedNotice> {
+fn load_notices(actions: Vec<OccupancyAction>) -> Vec<AddressedNotice> {
     let notices = actions.into_iter();
     let notices = notices.map(|action| AddressedNotice {
         vm: action.vm,
@@ -151,17 +153,17 @@
     notices.collect()
 }
 
-/// Tells the other VMs what this one saw.
-fn tell_crash<Dialect>(
+/// Returns the notices of a crash that this VM saw.
+fn crash_notices<Dialect>(
     front: &FrontContext<Dialect>,
     record: &QuarantineRecord,
 ) -> Vec<AddressedNotice> {
     let hops = front.book.borrow().occupancy.origin_hops(front.now());
-    address(front, hops, record)
+    address_record(front, hops, record)
 }
 
-/// Takes over what another VM saw, and passes it on.
-fn take_crash<Dialect>(
+/// Applies a notice of a crash that another VM saw, and returns the notices that relay it.
+fn apply_crash<Dialect>(
     front: &FrontContext<Dialect>,
     notice: &CrashNotice,
 ) -> Vec<AddressedNotice> {
@@ -171,33 +173,37 @@
     drop(quarantine);
     let book = front.book.borrow();
     let hops = book.occupancy.forward_hops(&notice.vm, notice.scope);
-    address(front, hops, &notice.record)
+    address_record(front, hops, &notice.record)
 }
 
-/// Takes over that streams of a leader stand still, and passes it on unless it was told a moment ago.
-fn take_silence<Dialect>(
+/// Applies a notice that the streams of a leader are stalled. Returns the notices that relay it,
+/// unless the same notice arrived a moment ago.
+fn apply_stall<Dialect>(
     front: &FrontContext<Dialect>,
     notice: &SilentNotice,
 ) -> Vec<AddressedNotice> {
-    let silence = notice.silence;
-    if !silence.is_stalled {
+    let stall = notice.silence;
+    if !stall.is_stalled {
         return Vec::new();
     }
     let mut book = front.book.borrow_mut();
-    let told = StallNotice {
-        leader: silence.leader,
-        witness: silence.witness,
+    let stall_notice = StallNotice {
+        leader: stall.leader,
+        witness: stall.witness,
     };
-    if !book.record_stall_notice(told, front.now()) {
+    if !book.record_stall_notice(stall_notice, front.now()) {
         return Vec::new();
     }
     let hops = book.occupancy.forward_hops(&notice.vm, notice.scope);
-    address_silence(front, hops, silence)
+    address_stall(front, hops, stall)
 }
 
-/// What this VM tells or asks about limits.
-fn tell_quota<Dialect>(front: &FrontContext<Dialect>, news: QuotaNews) -> Vec<AddressedNotice> {
-    match news {
+/// Returns the limit reports and permit requests that this VM sends.
+fn quota_notices<Dialect>(
+    front: &FrontContext<Dialect>,
+    message: QuotaNews,
+) -> Vec<AddressedNotice> {
+    match message {
         QuotaNews::Report(report) => {
             let hops = front.book.borrow().occupancy.origin_hops(front.now());
             address_limit(front, hops, &report)
@@ -209,8 +215,8 @@
     }
 }
 
-/// Takes over what another VM heard of an upstream's limit, and passes it on.
-fn take_limit<Dialect>(
+/// Applies another VM's report of an upstream's limit, and returns the notices that relay it.
+fn apply_limit<Dialect>(
     front: &FrontContext<Dialect>,
     notice: &LimitNotice,
 ) -> Vec<AddressedNotice> {
@@ -224,14 +230,14 @@
     address_limit(front, hops, &notice.report)
 }
 
-/// Answers another VM that asks for a permit.
-fn answer_quota<Dialect>(
+/// Handles another VM's request for a permit, and returns the answers that can be given now.
+fn answer_permit_request<Dialect>(
     front: &FrontContext<Dialect>,
     event: QuotaEvent<'_>,
 ) -> Vec<AddressedNotice> {
     let actions = front.quota.borrow_mut().handle(front.now(), event);
-    let answers = act(front, actions).into_iter();
-    let notices = answers.filter_map(|action| match action {
+    let quota_actions = act(front, actions).into_iter();
+    let notices = quota_actions.filter_map(|action| match action {
         QuotaAction::Answer { vm, answer } => Some(AddressedNotice {
             vm,
             notice: PeerNotice::PermitAnswer(answer),
@@ -257,7 +263,7 @@
     notices.collect()
 }
 
-fn address_silence<Dialect>(
+fn address_stall<Dialect>(
     front: &FrontContext<Dialect>,
     hops: Vec<RelayHop>,
     silence: LeaderStill,
@@ -273,7 +279,7 @@
     notices.collect()
 }
 
-fn address<Dialect>(
+fn address_record<Dialect>(
     front: &FrontContext<Dialect>,
     hops: Vec<RelayHop>,
     record: &QuarantineRecord,
@@ -292,8 +298,8 @@
     notices.collect()
 }
 
-/// Sends notices. One that cannot be sent at once is lost, like one that is lost on its way: the next
-/// period brings another.
+/// Sends notices. A notice that cannot be sent at once is dropped, like a datagram lost on the
+/// network: the next period sends another.
 fn send(socket: &UdpSocket, view: &ClusterView, notices: Vec<AddressedNotice>) {
     for AddressedNotice { vm, notice } in notices {
         let Some(entry) = view.entries.get(&vm) else {
--- a/crates/gateway/src/front/open.rs
+++ b/crates/gateway/src/front/open.rs
@@ -44,7 +44,7 @@
     // Past the deadline nobody waits for it, as if its caller had left.
     match &outcome {
         Err(error) if error.may_have_run() && front.now() >= state.deadline => drop(guard),
-        _ => guard.end(),
+        _ => guard.finish(),
     }
     count_attempt(front, state, &outcome);
     note_tried(front, state, upstream, &outcome);
