--- a/crates/gateway/src/front/breaks.rs
+++ b/crates/gateway/src/front/breaks.rs
@@ -134,7 +134,7 @@
 
 /// Records that a single upstream answered a request completely. An answer that was resumed at
 /// other upstreams does not count, because the last of them ran only a part of the request.
-pub fn record_whole<Dialect>(
+pub fn record_complete_answer<Dialect>(
     front: &FrontContext<Dialect>,
     request: &SentRequest,
     state: &CallState,
--- a/crates/gateway/src/front/call.rs
+++ b/crates/gateway/src/front/call.rs
@@ -15,7 +15,7 @@
 use super::admit::{admit, await_config, discard_body, read_body};
 use super::answer::{CallerAnswer, full_body};
 use super::attempt::{AttemptError, OpenReply, SentRequest};
-use super::breaks::{CallerLeftGuard, record_break, record_whole};
+use super::breaks::{CallerLeftGuard, record_break, record_complete_answer};
 use super::deadline::{DeadlinePassed, with_deadline};
 use super::open::open;
 use super::plan::{PlannedSend, plan};
@@ -229,7 +229,7 @@
         }
         false => {
             front.book.borrow_mut().record_success(id);
-            record_whole(front, request, state);
+            record_complete_answer(front, request, state);
             AttemptOutcome::Answered(answer)
         }
     }
--- a/crates/gateway/src/front/relay.rs
+++ b/crates/gateway/src/front/relay.rs
@@ -11,7 +11,7 @@
 use super::FrontContext;
 use super::answer::{AnswerChunk, BrokenAnswer, CallerAnswer, streamed_body};
 use super::attempt::{OpenReply, SentRequest};
-use super::breaks::{record_break, record_caller_left, record_whole};
+use super::breaks::{record_break, record_caller_left, record_complete_answer};
 use super::events::{EventSplitter, StreamEvent};
 use super::open::open;
 use super::plan::plan;
@@ -297,7 +297,7 @@
     fn finish(&self, reply: OpenReply) {
         let id = reply.upstream.incarnation.clone();
         self.front.book.borrow_mut().record_success(&id);
-        record_whole(&self.front, &self.request, &self.state);
+        record_complete_answer(&self.front, &self.request, &self.state);
         if let Some(model) = &self.request.call.model {
             let took = self.front.now().since(reply.run.sent_at);
             self.front.returns.borrow_mut().record_answer(model, took);
