--- a/crates/gateway/src/group_actions.rs
+++ b/crates/gateway/src/group_actions.rs
@@ -29,13 +29,13 @@
 
 /// Something that came to an end.
 #[derive(Debug)]
-pub enum DoneAction {
+pub enum CompletedAction {
     /// An order, and what became of it.
-    Ordered(OrderRequest, OrderOutcome),
+    Order(OrderRequest, OrderOutcome),
     /// A question to an upstream, and what became of it.
-    Asked(UpstreamIncarnation, QueryOutcome),
+    Query(UpstreamIncarnation, QueryOutcome),
     /// Members of a group that were to be held, and whether they are.
-    Held(GroupId, Vec<UpstreamId>, bool),
+    Hold(GroupId, Vec<UpstreamId>, bool),
 }
 
 /// Until when orders may be sent, and by which clock.
@@ -54,7 +54,7 @@
     calls: Rc<Semaphore>,
     window: OrderWindow,
     action: GroupAction,
-) -> DoneAction
+) -> CompletedAction
 where
     Store: StateStore,
     Control: UpstreamControl,
@@ -71,11 +71,11 @@
             if let Err(error) = &kept {
                 log::info!("event=hold_not_kept group={group} reason={error:?}");
             }
-            DoneAction::Held(group, members, kept.is_ok())
+            CompletedAction::Hold(group, members, kept.is_ok())
         }
         // The lease allowed it when it was decided on, and it has waited since.
         GroupAction::Order(request) if clock.now() >= window.until => {
-            DoneAction::Ordered(request, OrderOutcome::Unheard)
+            CompletedAction::Order(request, OrderOutcome::Unheard)
         }
         GroupAction::Order(request) => {
             let began = clock.now();
@@ -85,7 +85,7 @@
                 }
                 outcome => outcome,
             };
-            DoneAction::Ordered(request, outcome)
+            CompletedAction::Order(request, outcome)
         }
         GroupAction::Query(target) => {
             let began = clock.now();
@@ -112,7 +112,7 @@
                     QueryOutcome::Silent
                 }
             };
-            DoneAction::Asked(target.incarnation, outcome)
+            CompletedAction::Query(target.incarnation, outcome)
         }
     }
 }
@@ -150,13 +150,13 @@
 pub(crate) fn note_done(
     shared: &SharedState,
     planner: Option<&mut GroupPlanner>,
-    done: &DoneAction,
+    done: &CompletedAction,
 ) {
     let Some(planner) = planner else {
         return;
     };
     match done {
-        DoneAction::Ordered(request, outcome) => {
+        CompletedAction::Order(request, outcome) => {
             let order = request.order.as_str();
             log::info!(
                 "event=order upstream={} order={order} group={} fence={} expected={:?} outcome={outcome:?}",
@@ -170,10 +170,10 @@
             orders.with_label_values(&[order, name]).inc();
             planner.record_order_outcome(request, outcome);
         }
-        DoneAction::Held(group, members, is_kept) => {
+        CompletedAction::Hold(group, members, is_kept) => {
             planner.record_hold(group, members, *is_kept);
         }
-        DoneAction::Asked(id, outcome) => {
+        CompletedAction::Query(id, outcome) => {
             log::info!("event=asked upstream={id} outcome={outcome:?}");
             planner.record_query_outcome(id, outcome, shared.clock.now());
         }
--- a/crates/gateway/src/groups.rs
+++ b/crates/gateway/src/groups.rs
@@ -20,7 +20,7 @@
 use tokio::sync::{Semaphore, mpsc};
 use tokio::time::Instant;
 
-use crate::group_actions::{DoneAction, MAX_CALLS, OrderWindow, act, note_done};
+use crate::group_actions::{CompletedAction, MAX_CALLS, OrderWindow, act, note_done};
 use crate::lead_term::{LEASE_TTL, LeadTerm};
 use crate::own_keys::{COORDINATOR_KEY, EntryRecord, TERM_KEY};
 use crate::shared::SharedState;
@@ -286,7 +286,7 @@
         &self,
         term: &LeadTerm,
         action: GroupAction,
-    ) -> impl Future<Output = DoneAction> + use<Store, Control> {
+    ) -> impl Future<Output = CompletedAction> + use<Store, Control> {
         let (store, control) = (Rc::clone(&self.store), Rc::clone(&self.control));
         let window = OrderWindow {
             clock: self.shared.clock,
--- a/crates/gateway/tests/orders.rs
+++ b/crates/gateway/tests/orders.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bergamot_gateway::clock::BootClock;
-use bergamot_gateway::group_actions::{DoneAction, OrderWindow, act};
+use bergamot_gateway::group_actions::{CompletedAction, OrderWindow, act};
 use bergamot_groups::GroupAction;
 use bergamot_ports::{
     ControlError, GroupOrder, OrderOutcome, OrderRequest, StateStore, StoreError, StoreItem,
@@ -166,7 +166,7 @@
             );
             tokio::join!(biased; others, order).1
         });
-        let DoneAction::Ordered(request, outcome) = done else {
+        let CompletedAction::Order(request, outcome) = done else {
             panic!("{}: {done:?}", case.name);
         };
         assert_eq!(request, leave(), "{}", case.name);
