--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -21,7 +21,7 @@
 use crate::front::ends::{follow_ends, review_ends};
 use crate::front::exchange::exchange;
 use crate::front::server::{accept_callers, accept_ready, follow_groups, sweep};
-use crate::groups::GroupsDuty;
+use crate::groups::GroupCoordinator;
 use crate::listen::next_connection;
 use crate::shared::SharedState;
 use crate::signals::{ProcessSignal, SignalSet};
@@ -120,7 +120,7 @@
             };
             let store = Rc::new(ports.store());
             let control = Rc::new(ports.control());
-            GroupsDuty::new(shared, store, control, quiet, doubts, socket)
+            GroupCoordinator::new(shared, store, control, quiet, doubts, socket)
                 .run()
                 .await;
         })?;
--- a/crates/gateway/src/groups.rs
+++ b/crates/gateway/src/groups.rs
@@ -42,7 +42,7 @@
 const TAKEOVER_STEP: Millis = Millis(80);
 
 /// The state of the duty.
-pub struct GroupsDuty<Store, Control> {
+pub struct GroupCoordinator<Store, Control> {
     shared: Arc<SharedState>,
     store: Rc<Store>,
     control: Rc<Control>,
@@ -56,7 +56,7 @@
     socket: UdpSocket,
 }
 
-impl<Store, Control> GroupsDuty<Store, Control>
+impl<Store, Control> GroupCoordinator<Store, Control>
 where
     Store: StateStore,
     Control: UpstreamControl,
--- a/crates/gateway/tests/takeover.rs
+++ b/crates/gateway/tests/takeover.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bergamot_gateway::groups::GroupsDuty;
+use bergamot_gateway::groups::GroupCoordinator;
 use bergamot_gateway::own_keys::EntryRecord;
 use bergamot_gateway::shared::SharedState;
 use bergamot_gateway::view::ClusterView;
@@ -203,7 +203,7 @@
             let socket = UdpSocket::bind(("127.0.0.1", 0)).await;
             let socket = socket.expect("a port is free");
             let control = Rc::new(LostControl);
-            let duty = GroupsDuty::new(
+            let duty = GroupCoordinator::new(
                 Arc::clone(&shared),
                 Rc::clone(&store),
                 control,
