--- a/crates/entry/src/bin/bergamot-entry.rs
+++ b/crates/entry/src/bin/bergamot-entry.rs
@@ -16,7 +16,7 @@
 
 /// Runs on the platform that lays a settings file for each process.
 fn run_on_platform(matches: &getopts::Matches) -> anyhow::Result<ExitCode> {
-    bergamot_gateway::signals::take_reload_signals()?;
+    bergamot_gateway::signals::install_reload_handler()?;
     let path = std::env::var_os(SETTINGS_VARIABLE)
         .ok_or_else(|| anyhow::anyhow!("{SETTINGS_VARIABLE} is not set"))?;
     let settings = SiteSettings::load(Path::new(&path))?;
--- a/crates/gateway/src/signals.rs
+++ b/crates/gateway/src/signals.rs
@@ -46,7 +46,7 @@
 ///
 /// # Errors
 /// When the signal cannot be taken over.
-pub fn take_reload_signals() -> std::io::Result<()> {
+pub fn install_reload_handler() -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_io()
         .build()?;
