--- a/crates/gateway/src/groups.rs
+++ b/crates/gateway/src/groups.rs
@@ -300,7 +300,7 @@
         let began = self.shared.clock.now();
         match self.store.renew_lease(term.lease).await {
             Ok(true) => {
-                term.note_confirmed(began);
+                term.record_confirmation(began);
                 true
             }
             Ok(false) => false,
--- a/crates/gateway/src/lead_term.rs
+++ b/crates/gateway/src/lead_term.rs
@@ -32,7 +32,7 @@
     }
 
     /// Notes that the lease was confirmed by a call that began at `at`.
-    pub fn note_confirmed(&mut self, at: Millis) {
+    pub fn record_confirmation(&mut self, at: Millis) {
         self.confirmed_at = at;
     }
 
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -122,7 +122,7 @@
     }
 
     /// Notes that a read begun at `began` showed the newest configuration.
-    pub fn note_confirmed(&self, began: Millis) {
+    pub fn record_confirmation(&self, began: Millis) {
         self.confirmed_at.fetch_max(began.0, Ordering::SeqCst);
     }
 
--- a/crates/gateway/src/sync/mod.rs
+++ b/crates/gateway/src/sync/mod.rs
@@ -296,7 +296,7 @@
             TxnOutcome::LeaseGone => {}
         }
         if self.known.config.is_some() {
-            self.shared.note_confirmed(began);
+            self.shared.record_confirmation(began);
         }
         Ok(())
     }
--- a/crates/gateway/src/sync/peers.rs
+++ b/crates/gateway/src/sync/peers.rs
@@ -221,7 +221,7 @@
         // A peer that lags behind confirms nothing.
         if news.config_revision == known && self.known.config.is_some() {
             let confirmed_at = asked_at.0.saturating_sub(news.config_age.0);
-            self.shared.note_confirmed(Millis(confirmed_at));
+            self.shared.record_confirmation(Millis(confirmed_at));
         }
     }
 
@@ -252,7 +252,7 @@
             return false;
         }
         let confirmed_at = asked_at.0.saturating_sub(news.config_age.0);
-        self.shared.note_confirmed(Millis(confirmed_at));
+        self.shared.record_confirmation(Millis(confirmed_at));
         self.publish();
         true
     }
--- a/crates/gateway/src/sync/read.rs
+++ b/crates/gateway/src/sync/read.rs
@@ -125,7 +125,7 @@
         self.note_source(STORE_NAME);
         self.take_all(range.items, range.revision, began, STORE_NAME);
         if self.known.config.is_some() {
-            self.shared.note_confirmed(began);
+            self.shared.record_confirmation(began);
         }
         self.publish();
         true
--- a/crates/gateway/tests/suspended.rs
+++ b/crates/gateway/tests/suspended.rs
@@ -31,7 +31,7 @@
     let (records, _) = mpsc::channel(1);
     let clock = BootClock::with_source(boot);
     let shared = SharedState::with_clock(site(), quiet, records, clock);
-    shared.note_confirmed(shared.clock.now());
+    shared.record_confirmation(shared.clock.now());
     assert!(shared.is_confirmed(shared.clock.now()));
     suspend(REVOKE_TIME);
     assert!(!shared.is_confirmed(shared.clock.now()));
