--- a/crates/gateway/src/front/admit.rs
+++ b/crates/gateway/src/front/admit.rs
@@ -36,7 +36,7 @@
     let shared = &front.shared;
     let mut changes = shared.view_changed.subscribe();
     let has_config = || shared.view.load().config.is_some();
-    if has_config() || shared.is_store_away() || shared.clock.age() > START_TIME {
+    if has_config() || shared.is_store_unreachable() || shared.clock.age() > START_TIME {
         return;
     }
     let config = async { while !has_config() && changes.changed().await.is_ok() {} };
--- a/crates/gateway/src/front/ends.rs
+++ b/crates/gateway/src/front/ends.rs
@@ -52,7 +52,7 @@
     loop {
         tokio::time::sleep(REVIEW_PERIOD).await;
         let now = front.now();
-        if front.shared.is_store_away() || front.shared.config_age(now) > MAX_VIEW_AGE {
+        if front.shared.is_store_unreachable() || front.shared.config_age(now) > MAX_VIEW_AGE {
             fresh_since = now;
         }
         let due = front
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -138,7 +138,7 @@
     pub fn outage(&self, now: Millis) -> ServingOutage {
         ServingOutage {
             duration: self.shared.config_age(now).min(self.shared.clock.age()),
-            affects_other_vms: self.shared.are_peers_away(now),
+            affects_other_vms: self.shared.are_peers_stale(now),
         }
     }
 
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -127,23 +127,23 @@
     }
 
     /// Notes that a peer has no fresh news of the store either.
-    pub fn note_peer_away(&self, now: Millis) {
+    pub fn record_stale_peer(&self, now: Millis) {
         self.peer_away_at.fetch_max(now.0, Ordering::SeqCst);
     }
 
     /// Whether peers are known to have no fresh news of the store either.
-    pub fn are_peers_away(&self, now: Millis) -> bool {
+    pub fn are_peers_stale(&self, now: Millis) -> bool {
         let at = Millis(self.peer_away_at.load(Ordering::SeqCst));
         now.since(at) < PEER_AWAY_TIME
     }
 
     /// Notes whether the store answers.
-    pub fn set_store_away(&self, is_away: bool) {
+    pub fn set_store_unreachable(&self, is_away: bool) {
         self.store_away.store(is_away, Ordering::SeqCst);
     }
 
     /// Whether the store did not answer the last call.
-    pub fn is_store_away(&self) -> bool {
+    pub fn is_store_unreachable(&self) -> bool {
         self.store_away.load(Ordering::SeqCst)
     }
 
--- a/crates/gateway/src/sync/mod.rs
+++ b/crates/gateway/src/sync/mod.rs
@@ -313,11 +313,11 @@
             log::warn!("event=store_lost call={call} reason={error:?}");
         }
         self.known.is_away = true;
-        self.shared.set_store_away(true);
-        let are_peers_away = self.shared.are_peers_away(self.shared.clock.now());
+        self.shared.set_store_unreachable(true);
+        let are_peers_stale = self.shared.are_peers_stale(self.shared.clock.now());
         let pause = match self.ranking.is_store_reader() {
             true => RETRY_PERIOD,
-            false if are_peers_away => TOLD_RETRY,
+            false if are_peers_stale => TOLD_RETRY,
             false => FOLLOWER_RETRY,
         };
         self.confirm_at = Instant::now() + pause;
@@ -334,7 +334,7 @@
             self.shared.config_age(now)
         );
         self.known.is_away = false;
-        self.shared.set_store_away(false);
+        self.shared.set_store_unreachable(false);
         self.known.returned_at = Some(now);
     }
 
--- a/crates/gateway/src/sync/peers.rs
+++ b/crates/gateway/src/sync/peers.rs
@@ -87,7 +87,7 @@
             }
             let now = self.shared.clock.now();
             if error.is_heard() {
-                self.shared.note_peer_away(now);
+                self.shared.record_stale_peer(now);
             }
             self.ranking.back_off(vm, self.known.is_away, now);
         }
