--- a/crates/gateway/src/front/quiet.rs
+++ b/crates/gateway/src/front/quiet.rs
@@ -77,7 +77,7 @@
         leader: upstream.incarnation.clone(),
         is_certain,
     };
-    if let Err(error) = front.shared.quiet.try_send(notice) {
+    if let Err(error) = front.shared.stall_notices.try_send(notice) {
         log::debug!(
             "event=quiet_not_passed_on upstream={} reason={error}",
             upstream.incarnation
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -54,7 +54,7 @@
     /// What callers ask of each model here.
     pub demand: ArcSwap<IndexMap<ModelName, ModelDemand>>,
     /// Leaders from which nothing comes, for the coordinator.
-    pub quiet: mpsc::Sender<QuietNotice>,
+    pub stall_notices: mpsc::Sender<QuietNotice>,
     /// Requests under which upstreams ended.
     pub quarantine: Mutex<QuarantineState>,
     /// Records of them that are to be written to the store.
@@ -65,16 +65,16 @@
     /// The state of a process that has just started.
     pub fn new(
         site: VmSite,
-        quiet: mpsc::Sender<QuietNotice>,
+        stall_notices: mpsc::Sender<QuietNotice>,
         records: mpsc::Sender<QuarantineRecord>,
     ) -> Arc<Self> {
-        Self::with_clock(site, quiet, records, BootClock::default())
+        Self::with_clock(site, stall_notices, records, BootClock::default())
     }
 
     /// The same with this clock.
     pub fn with_clock(
         site: VmSite,
-        quiet: mpsc::Sender<QuietNotice>,
+        stall_notices: mpsc::Sender<QuietNotice>,
         records: mpsc::Sender<QuarantineRecord>,
         clock: BootClock,
     ) -> Arc<Self> {
@@ -92,7 +92,7 @@
             has_traffic: AtomicBool::new(false),
             stop_began: AtomicU64::new(0),
             demand: ArcSwap::default(),
-            quiet,
+            stall_notices,
             quarantine: Mutex::default(),
             records,
         })
