--- a/crates/gateway/src/front/admit.rs
+++ b/crates/gateway/src/front/admit.rs
@@ -82,7 +82,7 @@
     let timeout = call
         .deadline
         .map_or(route.timeout, |it| it.min(route.timeout));
-    let answer_end = front.stop.answer_end(arrived);
+    let answer_end = front.stop.answer_deadline(arrived);
     if answer_end.is_some_and(|end| arrived + timeout > end) {
         // It could be cut before its end.
         let kind = ErrorKind::ShuttingDown;
--- a/crates/gateway/src/front/plan.rs
+++ b/crates/gateway/src/front/plan.rs
@@ -85,7 +85,7 @@
         return Err(CallRefusal::later(ErrorKind::ShuttingDown, RETURN_STOPPING));
     }
     // Since it was admitted its body was waited for, or an upstream: sent on this late, it could be cut.
-    let answer_end = front.stop.answer_end(now);
+    let answer_end = front.stop.answer_deadline(now);
     if state.sends() == 0 && answer_end.is_some_and(|end| state.deadline > end) {
         return Err(CallRefusal::later(ErrorKind::ShuttingDown, RETURN_STOPPING));
     }
--- a/crates/gateway/src/front/server.rs
+++ b/crates/gateway/src/front/server.rs
@@ -50,7 +50,7 @@
     for stream in close_listener(listener) {
         take_caller(&front, stream);
     }
-    front.stop.note_listener_closed();
+    front.stop.record_listener_closed();
 }
 
 /// Counts a connection before its task first runs, so that a stop waits for it.
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -61,12 +61,12 @@
     }
 
     /// Notes that the listener is closed, and that all it had accepted is counted.
-    pub fn note_listener_closed(&self) {
+    pub fn record_listener_closed(&self) {
         self.handle(ShutdownEvent::ListenerClosed);
     }
 
     /// When a request that is read now must be over. None while every request is taken.
-    pub fn answer_end(&self, now: Millis) -> Option<Millis> {
+    pub fn answer_deadline(&self, now: Millis) -> Option<Millis> {
         self.state.borrow().answer_deadline(now)
     }
 
