--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,22 +1,23 @@
-//! The clock of a process.
+//! Process clock that keeps counting while the VM is suspended.
 
 use std::time::Duration;
 
 use bergamot_types::Millis;
 use nix::time::ClockId;
 
-/// Milliseconds since the start of the process, the time in which the VM was suspended among them.
+/// Milliseconds since the start of the process, including time during which the VM was suspended.
 ///
-/// What holds for a time that others rely on goes by this clock: leases, keys that must be confirmed, ages of news and
-/// deadlines. The steady clock of the standard library and of timers stands still while a VM is suspended: by it
-/// a key that was taken away meanwhile would be good for as much longer.
+/// Measures every period that other processes rely on: leases, confirmations of API keys, ages of
+/// store updates, and deadlines. The monotonic clock of the standard library and of timers stops
+/// while a VM is suspended: measured by it, a key that was revoked meanwhile would stay valid for
+/// that much longer.
 #[derive(Clone, Copy, Debug)]
 pub struct BootClock {
-    read: fn() -> Duration,
-    started: Duration,
+    read_time: fn() -> Duration,
+    started_at: Duration,
 }
 
-/// The clock's reading at the start, so that zero is long ago, in milliseconds.
+/// Reading of the clock at the start of the process, in milliseconds. Places zero far in the past.
 const OFFSET: u64 = 3_600_000;
 
 impl Default for BootClock {
@@ -26,31 +27,31 @@
 }
 
 impl BootClock {
-    /// A clock that starts now and reads the time from `read`.
-    pub fn with_source(read: fn() -> Duration) -> Self {
+    /// Creates a clock that starts now and reads the time since boot from `read_time`.
+    pub fn with_source(read_time: fn() -> Duration) -> Self {
         Self {
-            read,
-            started: read(),
+            read_time,
+            started_at: read_time(),
         }
     }
 
-    /// Time since the start of the process.
+    /// Returns the time since the start of the process.
     pub fn age(&self) -> Millis {
         self.now().since(Millis(OFFSET))
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> Millis {
-        let elapsed = (self.read)().saturating_sub(self.started);
+        let elapsed = (self.read_time)().saturating_sub(self.started_at);
         Millis(elapsed.as_millis() as u64 + OFFSET)
     }
 }
 
-/// Time since the machine started, suspended or not.
+/// Returns the time since the VM booted, including time during which it was suspended.
 ///
 /// # Panics
-/// Where the kernel has no such clock: it has come with every Linux since 2.6.39.
+/// If the kernel lacks `CLOCK_BOOTTIME`, which Linux has had since 2.6.39.
 fn time_since_boot() -> Duration {
     let time = ClockId::CLOCK_BOOTTIME.now();
-    Duration::from(time.expect("the kernel counts the time since it started"))
+    Duration::from(time.expect("the kernel supports CLOCK_BOOTTIME"))
 }
--- a/crates/gateway/src/group_actions.rs
+++ b/crates/gateway/src/group_actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the coordinator wants done, and tells it what became of it.
+//! Carries out the actions of the group planner and reports their outcomes to it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,39 +15,39 @@
 use crate::own_keys::{HOLD_PREFIX, hold_to_bytes};
 use crate::shared::SharedState;
 
-/// How long a note of held members lasts: the time in which they may be told to leave by it (3 s), the hold itself (4.4 s) and a
-/// change of the coordinator.
+/// Lifetime of a stored hold. Covers the time during which held members may be ordered to leave
+/// because of it (3 s), the hold itself (4.4 s) and a change of coordinator.
 const HOLD_TTL: Duration = Duration::from_secs(12);
 
-/// Orders and questions on their way at once, at most. Three thousand at once, as at the first start of
-/// that many upstreams, would all run out of time for want of processor here.
-pub(crate) const MAX_CALLS: usize = 64;
+/// Most orders and queries in flight at once. 3,000 at once, as at the first start of that many
+/// upstreams, would all time out for lack of CPU on this VM.
+pub(crate) const MAX_CONCURRENT_CALLS: usize = 64;
 
-/// How late a timer may fire in a process that is not short of processor: several times the few
-/// milliseconds that were seen.
-const STALL_MARGIN: Duration = Duration::from_millis(40);
+/// How late a timer may fire in a process that is not short of CPU. Several times the delay of a
+/// few milliseconds seen in practice.
+const TIMER_DELAY_MARGIN: Duration = Duration::from_millis(40);
 
-/// Something that came to an end.
+/// A completed action of the planner, with its outcome.
 #[derive(Debug)]
 pub enum CompletedAction {
-    /// An order, and what became of it.
+    /// An order was sent, or its window had closed.
     Order(OrderRequest, OrderOutcome),
-    /// A question to an upstream, and what became of it.
+    /// An upstream was queried for its report.
     Query(UpstreamIncarnation, QueryOutcome),
-    /// Members of a group that were to be held, and whether they are.
+    /// The hold of a group's members was written; `true` if the store accepted it.
     Hold(GroupId, Vec<UpstreamId>, bool),
 }
 
-/// Until when orders may be sent, and by which clock.
+/// The period during which orders may be sent.
 #[derive(Clone, Copy, Debug)]
 pub struct OrderWindow {
-    /// The clock.
+    /// The clock that measures the period.
     pub clock: BootClock,
-    /// The end: another coordinator may give orders soon after it.
+    /// End of the period. Another coordinator may give orders soon after it.
     pub until: Millis,
 }
 
-/// Carries one action out once `calls` has room for it.
+/// Carries out one action as soon as `calls` has a free permit for it.
 pub async fn act<Store, Control>(
     store: Rc<Store>,
     control: Rc<Control>,
@@ -60,27 +60,30 @@
     Control: UpstreamControl,
 {
     let clock = window.clock;
-    // Never closed, so this only waits. A hold is a call to the store and waits for nobody.
+    // The semaphore is never closed, so `acquire` never fails. A hold is a call to the store and
+    // needs no permit.
     let _permit = match &action {
         GroupAction::Hold { .. } => None,
         GroupAction::Order(_) | GroupAction::Query(_) => calls.acquire().await.ok(),
     };
     match action {
         GroupAction::Hold { group, members } => {
-            let kept = keep_hold(store.as_ref(), &group, &members).await;
-            if let Err(error) = &kept {
+            let stored = store_hold(store.as_ref(), &group, &members).await;
+            if let Err(error) = &stored {
                 log::info!("event=hold_not_kept group={group} reason={error:?}");
             }
-            CompletedAction::Hold(group, members, kept.is_ok())
+            CompletedAction::Hold(group, members, stored.is_ok())
         }
-        // The lease allowed it when it was decided on, and it has waited since.
+        // The lease allowed the order when it was decided, but the window closed while it waited.
         GroupAction::Order(request) if clock.now() >= window.until => {
             CompletedAction::Order(request, OrderOutcome::Unheard)
         }
         GroupAction::Order(request) => {
-            let began = clock.now();
+            let started_at = clock.now();
             let outcome = match control.order(&request).await {
-                OrderOutcome::Unknown(_) if stood_still(clock, began, Control::ORDER_TIMEOUT) => {
+                OrderOutcome::Unknown(_)
+                    if timed_out_late(clock, started_at, Control::ORDER_TIMEOUT) =>
+                {
                     OrderOutcome::Unheard
                 }
                 outcome => outcome,
@@ -88,12 +91,12 @@
             CompletedAction::Order(request, outcome)
         }
         GroupAction::Query(target) => {
-            let began = clock.now();
+            let started_at = clock.now();
             let outcome = match control.report(&target).await {
                 Ok(report) => QueryOutcome::Answered(report),
                 Err(ControlError::Gone) => QueryOutcome::Gone,
                 Err(ControlError::NoAnswer(_))
-                    if stood_still(clock, began, Control::REPORT_TIMEOUT) =>
+                    if timed_out_late(clock, started_at, Control::REPORT_TIMEOUT) =>
                 {
                     QueryOutcome::Unheard
                 }
@@ -117,14 +120,14 @@
     }
 }
 
-/// Whether a call that began at `began` and has `time` ran out late: then this process had no share
-/// of the processor or its VM was suspended, and the answer may have waited for it.
-fn stood_still(clock: BootClock, began: Millis, time: Duration) -> bool {
-    clock.now().since(began).as_duration() > time + STALL_MARGIN
+/// Whether a call that started at `started_at` returned later than its `timeout` allows. If so,
+/// this process got no CPU time or its VM was suspended, and an answer may have arrived unread.
+fn timed_out_late(clock: BootClock, started_at: Millis, timeout: Duration) -> bool {
+    clock.now().since(started_at).as_duration() > timeout + TIMER_DELAY_MARGIN
 }
 
-/// Keeps held members in the store for longer than the time they are held.
-pub(crate) async fn keep_hold<Store>(
+/// Writes the held members of a group to the store, for longer than the hold lasts.
+pub(crate) async fn store_hold<Store>(
     store: &Store,
     group: &GroupId,
     members: &[UpstreamId],
@@ -147,15 +150,15 @@
     }
 }
 
-pub(crate) fn note_done(
+pub(crate) fn record_completed(
     shared: &SharedState,
     planner: Option<&mut GroupPlanner>,
-    done: &CompletedAction,
+    completed: &CompletedAction,
 ) {
     let Some(planner) = planner else {
         return;
     };
-    match done {
+    match completed {
         CompletedAction::Order(request, outcome) => {
             let order = request.order.as_str();
             log::info!(
@@ -165,13 +168,13 @@
                 request.fence,
                 request.expected,
             );
-            let name = outcome_name(outcome);
+            let label = outcome_label(outcome);
             let orders = &shared.metrics.orders;
-            orders.with_label_values(&[order, name]).inc();
+            orders.with_label_values(&[order, label]).inc();
             planner.record_order_outcome(request, outcome);
         }
-        CompletedAction::Hold(group, members, is_kept) => {
-            planner.record_hold(group, members, *is_kept);
+        CompletedAction::Hold(group, members, is_stored) => {
+            planner.record_hold(group, members, *is_stored);
         }
         CompletedAction::Query(id, outcome) => {
             log::info!("event=asked upstream={id} outcome={outcome:?}");
@@ -180,7 +183,7 @@
     }
 }
 
-pub(crate) fn outcome_name(outcome: &OrderOutcome) -> &'static str {
+pub(crate) fn outcome_label(outcome: &OrderOutcome) -> &'static str {
     match outcome {
         OrderOutcome::Begun => "begun",
         OrderOutcome::Holds => "holds",
--- a/crates/gateway/src/groups.rs
+++ b/crates/gateway/src/groups.rs
@@ -1,7 +1,8 @@
-//! The groups' duty: one entry VM at a time coordinates the replica groups.
+//! The groups thread: one entry VM at a time coordinates the replica groups.
 //!
-//! Whoever holds the lease in the store does. Its fencing number is the revision at which it took
-//! over; it gives orders only while a renewal confirmed the lease recently enough.
+//! The VM that owns the coordinator's lease in the store does so. Its fencing number is the
+//! revision at which it took over; it sends orders only while the last renewal of the lease is
+//! recent enough.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -20,39 +21,41 @@
 use tokio::sync::{Semaphore, mpsc};
 use tokio::time::Instant;
 
-use crate::group_actions::{CompletedAction, MAX_CALLS, OrderWindow, act, note_done};
-use crate::lead_term::{LEASE_TTL, LeadTerm};
+use crate::group_actions::{
+    CompletedAction, MAX_CONCURRENT_CALLS, OrderWindow, act, record_completed,
+};
+use crate::lead_term::{CoordinatorTerm, LEASE_TTL};
 use crate::own_keys::{COORDINATOR_KEY, EntryRecord, TERM_KEY};
 use crate::shared::SharedState;
 use crate::view::ClusterView;
 
-/// Time between two renewals: two may fail.
+/// Period of lease renewals. Two in a row may fail.
 const RENEW_PERIOD: Duration = Duration::from_millis(400);
-/// Time between two looks while there is work, for what no change announces.
+/// Longest time between two planner steps, for conditions that no change of the view announces.
 const STEP_PERIOD: Duration = Duration::from_millis(100);
-/// The least time between two looks. On an eighth of a core a look at 296 upstreams takes up to 8 ms;
-/// one after each of the 16 answers of a group made the next questions run out of time.
+/// Shortest time between two planner steps. On an eighth of a core a step over 296 upstreams takes
+/// up to 8 ms; with one step after each of a group's 16 answers the next queries timed out.
 const STEP_GAP: Duration = Duration::from_millis(20);
-/// The gap is at least so many times what the last look took, so that looks take a third of the
-/// processor at most: one at 3,000 upstreams that all load takes 26 ms of a whole core.
-const STEP_SHARE: u32 = 2;
-/// What each VM waits longer than the one before it in the order of succession before it tries to
-/// become coordinator. About as long as news of a successor takes to most others, so that a few try
-/// in vain and not all: three calls to the store each.
-const TAKEOVER_STEP: Millis = Millis(80);
+/// Least ratio of the gap to the duration of the last step. Limits steps to a third of the CPU: a
+/// step over 3,000 upstreams that all load takes 26 ms of a whole core.
+const STEP_GAP_FACTOR: u32 = 2;
+/// How much longer each VM waits than its predecessor in the order of succession before it tries to
+/// become coordinator. About the time in which most VMs learn of a successor, so that only a few
+/// try in vain, each at the cost of three calls to the store.
+const TAKEOVER_STAGGER: Millis = Millis(80);
 
-/// The state of the duty.
+/// Competes for the coordinator's lease, and coordinates the groups while it owns the lease.
 pub struct GroupCoordinator<Store, Control> {
     shared: Arc<SharedState>,
     store: Rc<Store>,
     control: Rc<Control>,
-    /// Bounds the calls to upstreams that are on their way.
+    /// Limits the calls to upstreams that are in flight.
     calls: Rc<Semaphore>,
-    /// Leaders from which nothing comes, as this VM sees it.
-    quiet: mpsc::Receiver<QuietNotice>,
-    /// The same as other VMs see it.
-    doubts: mpsc::Receiver<QuietNotice>,
-    /// Where notices to the coordinator leave.
+    /// Stalled leaders, as seen by this VM.
+    stall_notices: mpsc::Receiver<QuietNotice>,
+    /// Stalled leaders, as seen by other VMs.
+    peer_stall_notices: mpsc::Receiver<QuietNotice>,
+    /// Socket that sends notices to the coordinator.
     socket: UdpSocket,
 }
 
@@ -61,63 +64,65 @@
     Store: StateStore,
     Control: UpstreamControl,
 {
-    /// A duty that does not coordinate yet.
+    /// Creates a coordinator that does not own the lease yet.
     pub fn new(
         shared: Arc<SharedState>,
         store: Rc<Store>,
         control: Rc<Control>,
-        quiet: mpsc::Receiver<QuietNotice>,
-        doubts: mpsc::Receiver<QuietNotice>,
+        stall_notices: mpsc::Receiver<QuietNotice>,
+        peer_stall_notices: mpsc::Receiver<QuietNotice>,
         socket: UdpSocket,
     ) -> Self {
         Self {
             shared,
             store,
             control,
-            calls: Rc::new(Semaphore::new(MAX_CALLS)),
-            quiet,
-            doubts,
+            calls: Rc::new(Semaphore::new(MAX_CONCURRENT_CALLS)),
+            stall_notices,
+            peer_stall_notices,
             socket,
         }
     }
 
-    /// Runs for as long as the process does.
+    /// Runs until the process ends.
     pub async fn run(mut self) {
-        let mut changes = self.shared.view_changed.subscribe();
+        let mut view_changes = self.shared.view_changed.subscribe();
         loop {
             let view = self.shared.view.load_full();
             let is_vacant = view.coordinator.is_none() && view.revision > 0;
             let has_groups = engine_service(&view).is_some();
             if is_vacant && has_groups && !self.shared.is_stopping() {
-                let wait = takeover_wait(&view, &self.shared.site);
-                let given_up = async {
-                    let is_taken = |count: &u64| *count > 0 && self.shared.has_coordinator();
-                    let must_not = |count: &u64| is_taken(count) || self.shared.is_stopping();
-                    let _ = changes.wait_for(must_not).await;
+                let delay = takeover_wait(&view, &self.shared.site);
+                let takeover_not_needed = async {
+                    let has_successor = |count: &u64| *count > 0 && self.shared.has_coordinator();
+                    let must_give_up =
+                        |count: &u64| has_successor(count) || self.shared.is_stopping();
+                    let _ = view_changes.wait_for(must_give_up).await;
                 };
-                let waited = tokio::time::timeout(wait.as_duration(), given_up).await;
-                if waited.is_ok() {
+                let timeout_outcome =
+                    tokio::time::timeout(delay.as_duration(), takeover_not_needed).await;
+                if timeout_outcome.is_ok() {
                     continue;
                 }
                 if let Some(term) = self.take_over(&view).await {
-                    self.lead(term).await;
+                    self.coordinate(term).await;
                     continue;
                 }
             }
             tokio::select! {
-                _ = changes.changed() => {}
-                notice = self.quiet.recv() => self.pass_on(notice).await,
-                // Meant for a coordinator; this VM is none any more.
-                Some(_) = self.doubts.recv() => {}
+                _ = view_changes.changed() => {}
+                notice = self.stall_notices.recv() => self.forward_notice(notice).await,
+                // The notice is meant for a coordinator, and this VM no longer is one.
+                Some(_) = self.peer_stall_notices.recv() => {}
                 () = tokio::time::sleep(RENEW_PERIOD), if is_vacant => {}
             }
         }
     }
 
-    /// Tells the coordinator of a leader from which nothing comes.
-    async fn pass_on(&self, notice: Option<QuietNotice>) {
+    /// Forwards a notice about a stalled leader to the coordinator.
+    async fn forward_notice(&self, notice: Option<QuietNotice>) {
         let Some(notice) = notice else {
-            // The senders live as long as the process.
+            // Unreachable: the senders live as long as the process.
             return std::future::pending().await;
         };
         let view = self.shared.view.load_full();
@@ -137,8 +142,8 @@
         }
     }
 
-    /// Tries to become the coordinator, and gives it up where the process is told to stop meanwhile.
-    async fn take_over(&self, view: &ClusterView) -> Option<LeadTerm> {
+    /// Tries to become the coordinator. Gives up if the process begins to stop meanwhile.
+    async fn take_over(&self, view: &ClusterView) -> Option<CoordinatorTerm> {
         let confirmed_at = self.shared.clock.now();
         let ttl = LEASE_TTL.as_duration();
         let lease = match self.store.open_lease(ttl).await {
@@ -149,25 +154,25 @@
             }
         };
         if self.shared.is_stopping() {
-            self.end_lease(lease).await;
+            self.revoke_lease(lease).await;
             return None;
         }
         let record = EntryRecord::of(&self.shared.site);
-        let write = |key: &str, lease: u64| KeyWrite {
+        let new_write = |key: &str, lease: u64| KeyWrite {
             key: key.to_owned(),
             value: record.to_bytes(),
             lease,
         };
-        let condition = |key: &str, revision: u64| KeyCondition {
+        let new_condition = |key: &str, revision: u64| KeyCondition {
             key: key.to_owned(),
             revision,
         };
         let txn = StoreTxn {
             conditions: vec![
-                condition(COORDINATOR_KEY, 0),
-                condition(TERM_KEY, view.term),
+                new_condition(COORDINATOR_KEY, 0),
+                new_condition(TERM_KEY, view.term),
             ],
-            writes: vec![write(COORDINATOR_KEY, lease), write(TERM_KEY, 0)],
+            writes: vec![new_write(COORDINATOR_KEY, lease), new_write(TERM_KEY, 0)],
             removes: Vec::new(),
         };
         match self.store.commit(&txn).await {
@@ -177,74 +182,78 @@
                     view.term
                 );
                 let is_first = view.term == 0;
-                Some(LeadTerm::new(lease, fence, is_first, confirmed_at))
+                Some(CoordinatorTerm::new(lease, fence, is_first, confirmed_at))
             }
             outcome => {
-                // When the answer was lost the lease may hold the place: it ends with it.
+                // If the answer was lost, the coordinator key may exist; it is removed with the
+                // lease.
                 log::info!("event=takeover_lost outcome={outcome:?}");
-                self.end_lease(lease).await;
+                self.revoke_lease(lease).await;
                 None
             }
         }
     }
 
-    async fn end_lease(&self, lease: u64) {
+    async fn revoke_lease(&self, lease: u64) {
         if let Err(error) = self.store.revoke_lease(lease).await {
             log::info!("event=lease_not_ended reason={error:?}");
         }
     }
 
-    /// Coordinates until the lease is lost or the process stops.
-    async fn lead(&mut self, mut term: LeadTerm) {
+    /// Coordinates the groups until the lease is lost or the process stops.
+    async fn coordinate(&mut self, mut term: CoordinatorTerm) {
         let shared = Arc::clone(&self.shared);
-        let mut changes = shared.view_changed.subscribe();
-        changes.mark_changed();
+        let mut view_changes = shared.view_changed.subscribe();
+        view_changes.mark_changed();
         let mut renewals = tokio::time::interval(RENEW_PERIOD);
         renewals.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let mut planner: Option<GroupPlanner> = None;
-        let mut running = FuturesUnordered::new();
-        let mut soon = Instant::now();
-        let mut step_at = soon;
+        let mut pending_actions = FuturesUnordered::new();
+        let mut earliest_step_at = Instant::now();
+        let mut step_at = earliest_step_at;
         loop {
             tokio::select! {
                 biased;
                 _ = renewals.tick() => {
-                    // The place is given up next, however long the store takes for a renewal.
+                    // A stopping process revokes the lease below, so a slow renewal must not delay
+                    // it.
                     if !shared.is_stopping() && !self.renew(&mut term).await {
                         break;
                     }
                 }
-                Some(done) = running.next(), if !running.is_empty() => {
-                    note_done(&shared, planner.as_mut(), &done);
-                    step_at = soon;
+                Some(completed) = pending_actions.next(), if !pending_actions.is_empty() => {
+                    record_completed(&shared, planner.as_mut(), &completed);
+                    step_at = earliest_step_at;
                 }
-                _ = changes.changed() => {
+                _ = view_changes.changed() => {
                     let view = shared.view.load_full();
-                    update(&shared, &mut planner, &view, &term);
-                    step_at = soon;
+                    update_planner(&shared, &mut planner, &view, &term);
+                    step_at = earliest_step_at;
                 }
-                notice = self.quiet.recv() => {
-                    let questions = self.doubt(&term, planner.as_mut(), notice);
-                    running.extend(questions.into_iter().map(|it| self.carry_out(&term, it)));
+                notice = self.stall_notices.recv() => {
+                    let queries = self.queries_for_stall(&term, planner.as_mut(), notice);
+                    pending_actions
+                        .extend(queries.into_iter().map(|action| self.carry_out(&term, action)));
                 }
-                notice = self.doubts.recv() => {
-                    let questions = self.doubt(&term, planner.as_mut(), notice);
-                    running.extend(questions.into_iter().map(|it| self.carry_out(&term, it)));
+                notice = self.peer_stall_notices.recv() => {
+                    let queries = self.queries_for_stall(&term, planner.as_mut(), notice);
+                    pending_actions
+                        .extend(queries.into_iter().map(|action| self.carry_out(&term, action)));
                 }
                 () = tokio::time::sleep_until(step_at) => {}
             }
             if shared.is_stopping() {
-                self.end_lease(term.lease).await;
+                self.revoke_lease(term.lease).await;
                 log::info!("event=coordinator_ends reason=stopping");
                 return;
             }
             if Instant::now() < step_at {
                 continue;
             }
-            let began = Instant::now();
+            let step_started_at = Instant::now();
             let now = shared.clock.now();
             let Some(planner) = planner.as_mut().filter(|_| term.allows_orders(now)) else {
-                step_at = began + STEP_PERIOD;
+                step_at = step_started_at + STEP_PERIOD;
                 continue;
             };
             if shared.has_traffic.load(Ordering::Relaxed) {
@@ -252,10 +261,10 @@
             }
             planner.set_demand(shared.demand.load().as_ref().clone());
             for action in planner.step(now) {
-                running.push(self.carry_out(&term, action));
+                pending_actions.push(self.carry_out(&term, action));
             }
-            let gap = STEP_GAP.max(began.elapsed() * STEP_SHARE);
-            soon = Instant::now() + gap;
+            let gap = STEP_GAP.max(step_started_at.elapsed() * STEP_GAP_FACTOR);
+            earliest_step_at = Instant::now() + gap;
             step_at = Instant::now() + STEP_PERIOD.max(gap);
             if planner.is_fenced() {
                 log::warn!("event=coordinator_fenced fence={}", term.fence);
@@ -265,10 +274,10 @@
         log::info!("event=coordinator_ends reason=lease");
     }
 
-    /// The questions to a group from whose leader nothing comes.
-    fn doubt(
+    /// Records a stalled leader and returns the queries to its group.
+    fn queries_for_stall(
         &self,
-        term: &LeadTerm,
+        term: &CoordinatorTerm,
         planner: Option<&mut GroupPlanner>,
         notice: Option<QuietNotice>,
     ) -> Vec<GroupAction> {
@@ -284,7 +293,7 @@
 
     fn carry_out(
         &self,
-        term: &LeadTerm,
+        term: &CoordinatorTerm,
         action: GroupAction,
     ) -> impl Future<Output = CompletedAction> + use<Store, Control> {
         let (store, control) = (Rc::clone(&self.store), Rc::clone(&self.control));
@@ -295,50 +304,53 @@
         act(store, control, Rc::clone(&self.calls), window, action)
     }
 
-    /// Renews the lease. False when it is lost.
-    async fn renew(&self, term: &mut LeadTerm) -> bool {
-        let began = self.shared.clock.now();
+    /// Renews the lease. Returns `false` if it is lost.
+    async fn renew(&self, term: &mut CoordinatorTerm) -> bool {
+        let call_started_at = self.shared.clock.now();
         match self.store.renew_lease(term.lease).await {
             Ok(true) => {
-                term.record_confirmation(began);
+                term.record_confirmation(call_started_at);
                 true
             }
             Ok(false) => false,
             Err(error) => {
                 log::info!("event=lease_not_renewed reason={error:?}");
-                // An outage may pause leases; a lapsed one shows when the store answers again.
+                // The store may pause leases during an outage. Whether this one expired shows when
+                // the store answers again.
                 true
             }
         }
     }
 }
 
-/// How long this VM leaves the place to those before it: the ones with the most processor first, as
-/// the coordinator has the most to do, and else in an order that is new for each term. VMs that are
-/// not known yet, as at the first start, all count as the first: their waits are drawn.
+/// Returns how long this VM waits for others to take over before it tries itself. VMs with the most
+/// CPU come first, as the coordinator has the most work; ties are broken by an order that differs
+/// for each term. VMs that are not known yet, as at the first start, all count as the first; random
+/// jitter tells them apart.
 fn takeover_wait(view: &ClusterView, site: &VmSite) -> Millis {
-    let order = |millicores: u32, vm: &str| (millicores, rendezvous_score(view.term, vm));
-    let own = order(site.millicores, site.vm.as_str());
+    let succession_rank = |millicores: u32, vm: &str| (millicores, rendezvous_score(view.term, vm));
+    let own_rank = succession_rank(site.millicores, site.vm.as_str());
     let entries = view.entries.values();
-    let before = entries.filter(|entry| order(entry.millicores, &entry.vm) > own);
-    let drawn = rand::rng().random_range(0..TAKEOVER_STEP.0);
-    Millis(TAKEOVER_STEP.0 * before.count() as u64 + drawn)
+    let earlier_entries =
+        entries.filter(|entry| succession_rank(entry.millicores, &entry.vm) > own_rank);
+    let jitter = rand::rng().random_range(0..TAKEOVER_STAGGER.0);
+    Millis(TAKEOVER_STAGGER.0 * earlier_entries.count() as u64 + jitter)
 }
 
 fn engine_service(view: &ClusterView) -> Option<(ServiceName, EngineSpec)> {
     let services = view.config.as_ref()?.services.values();
-    let mut engines = services.filter_map(|spec| {
+    let mut engine_services = services.filter_map(|spec| {
         let engine = spec.engine.clone()?;
         Some((spec.name.clone(), engine))
     });
-    engines.next()
+    engine_services.next()
 }
 
-fn update(
+fn update_planner(
     shared: &SharedState,
     planner: &mut Option<GroupPlanner>,
     view: &ClusterView,
-    term: &LeadTerm,
+    term: &CoordinatorTerm,
 ) {
     let Some((service, spec)) = engine_service(view) else {
         return;
--- a/crates/gateway/src/lead_term.rs
+++ b/crates/gateway/src/lead_term.rs
@@ -1,27 +1,27 @@
-//! A term as coordinator, and until when it allows orders.
+//! A term as coordinator, and the period in which it allows orders.
 
 use bergamot_types::prelude::*;
 
-/// How long the coordinator's lease outlives its last renewal. The time without a coordinator
-/// after a loss; the store takes one second and more.
+/// How long the coordinator's lease outlives its last renewal, and so how long the groups have no
+/// coordinator after one is lost. The store grants leases of one second or longer.
 pub(crate) const LEASE_TTL: Millis = Millis(1_500);
-/// Taken off the lease's time, for the way of an order to its upstream.
-const LEASE_MARGIN: Millis = Millis(300);
+/// Subtracted from the lease's lifetime to allow for the transit of an order to its upstream.
+const ORDER_TRANSIT_MARGIN: Millis = Millis(300);
 
-/// A term as coordinator.
-pub(crate) struct LeadTerm {
-    /// The lease by which the place is held.
+/// One term of this VM as coordinator.
+pub(crate) struct CoordinatorTerm {
+    /// The lease that the coordinator key is attached to.
     pub lease: u64,
-    /// The fencing number of its orders.
+    /// The fencing number of the term's orders.
     pub fence: u64,
-    /// Whether nobody coordinated before.
+    /// Whether no VM has coordinated before.
     pub is_first: bool,
-    /// When the call began by which the lease was last confirmed.
+    /// When the call started that last confirmed the lease.
     confirmed_at: Millis,
 }
 
-impl LeadTerm {
-    /// A term whose lease was confirmed by a call that began at `confirmed_at`.
+impl CoordinatorTerm {
+    /// Creates a term whose lease was confirmed by a call that started at `confirmed_at`.
     pub fn new(lease: u64, fence: u64, is_first: bool, confirmed_at: Millis) -> Self {
         Self {
             lease,
@@ -31,17 +31,17 @@
         }
     }
 
-    /// Notes that the lease was confirmed by a call that began at `at`.
+    /// Records that a call started at `at` confirmed the lease.
     pub fn record_confirmation(&mut self, at: Millis) {
         self.confirmed_at = at;
     }
 
-    /// Until when the lease was confirmed recently enough for an order that is sent.
+    /// Returns the end of the period in which the confirmation of the lease allows orders.
     pub fn orders_until(&self) -> Millis {
-        self.confirmed_at + LEASE_TTL.since(LEASE_MARGIN)
+        self.confirmed_at + LEASE_TTL.since(ORDER_TRANSIT_MARGIN)
     }
 
-    /// Whether the lease was confirmed recently enough for an order that is given now.
+    /// Whether the confirmation of the lease is recent enough to send an order at `now`.
     pub fn allows_orders(&self, now: Millis) -> bool {
         now < self.orders_until()
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,7 +1,8 @@
-//! The serving path on a platform: admit, choose, attempt, relay, resume.
+//! The serving path of an entry VM: admits requests, chooses upstreams, sends attempts, relays
+//! responses and resumes interrupted streams.
 //!
-//! Everything goes through the ports of `bergamot-ports`. A thread for each duty: callers, the
-//! store, the groups, metrics, and the log's writer.
+//! Reaches the platform only through the ports of `bergamot-ports`. Runs one thread each for
+//! callers, the store, the groups, metrics and the log writer.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/gateway/src/listen.rs
+++ b/crates/gateway/src/listen.rs
@@ -1,30 +1,30 @@
-//! Accepts connections, and closes listeners.
+//! Accepts connections and closes listeners.
 
 use std::io::ErrorKind;
 use std::time::Duration;
 
 use tokio::net::{TcpListener, TcpStream};
 
-/// Pause after a failed accept: descriptors may have run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Tries to take a connection from the kernel's queue at the end of listening, at most: more than it holds.
-const MAX_WAITING: usize = 8_192;
+/// Pause after a failed accept, as file descriptors may have run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Most attempts to accept a connection when a listener closes. Exceeds the kernel's accept queue.
+const MAX_FINAL_ACCEPTS: usize = 8_192;
 
-/// The next connection. Failures to accept one are logged and tried again.
+/// Returns the next connection. Logs a failed accept and tries again.
 pub(crate) async fn next_connection(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => return stream,
             Err(error) => {
                 log::warn!("event=accept_failed reason={error:?}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Closes a listener, and gives the connections that waited to be accepted: closed with it, their callers would see a reset
-/// where they can be served.
+/// Closes a listener and returns the connections of its accept queue. Without this, closing would
+/// reset them, although their callers can still be served.
 pub fn close_listener(listener: TcpListener) -> Vec<TcpStream> {
     let listener = match listener.into_std() {
         Ok(listener) => listener,
@@ -33,20 +33,20 @@
             return Vec::new();
         }
     };
-    let mut waiting = Vec::new();
-    // The kernel is asked until its queue is empty: readiness as the runtime knows it may lag behind.
-    for _ in 0..MAX_WAITING {
-        match accept_waiting(&listener) {
-            Ok(stream) => waiting.push(stream),
+    let mut pending_streams = Vec::new();
+    // Accepts until the kernel's queue is empty, as the runtime's readiness may lag behind.
+    for _ in 0..MAX_FINAL_ACCEPTS {
+        match accept_pending(&listener) {
+            Ok(stream) => pending_streams.push(stream),
             Err(error) if error.kind() == ErrorKind::WouldBlock => break,
-            // One caller has left, or descriptors have run out; the next may be luckier.
+            // The caller has left or descriptors have run out; the next accept may succeed.
             Err(error) => log::warn!("event=accept_failed reason={error:?}"),
         }
     }
-    waiting
+    pending_streams
 }
 
-fn accept_waiting(listener: &std::net::TcpListener) -> std::io::Result<TcpStream> {
+fn accept_pending(listener: &std::net::TcpListener) -> std::io::Result<TcpStream> {
     let (stream, _) = listener.accept()?;
     stream.set_nonblocking(true)?;
     TcpStream::from_std(stream)
--- a/crates/gateway/src/own_keys.rs
+++ b/crates/gateway/src/own_keys.rs
@@ -1,4 +1,4 @@
-//! What entry VMs themselves keep in the store.
+//! Keys and values that entry VMs write to the store.
 
 use std::net::SocketAddr;
 
@@ -7,33 +7,35 @@
 use bergamot_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// Everything of ours lies below it.
+/// Prefix of all keys that entry VMs write.
 pub const OWN_PREFIX: &str = "bergamot/";
-/// Who coordinates the groups; ends with the coordinator's lease.
+/// Key of the VM that coordinates the groups. Removed with the coordinator's lease.
 pub const COORDINATOR_KEY: &str = "bergamot/coordinator";
-/// Written with each change of the coordinator and never removed. Its revision is the fencing
+/// Key that each new coordinator writes and that is never removed. Its revision is the fencing
 /// number.
 pub const TERM_KEY: &str = "bergamot/term";
-/// Below it each entry VM has a key, which ends with the VM's lease.
+/// Prefix of the keys of entry VMs. Each is removed with its VM's lease.
 pub const ENTRY_PREFIX: &str = "bergamot/entry/";
 
-/// Below it each group whose members are held has a key with their ids.
+/// Prefix of the keys of groups whose members are held. The value lists the members' ids.
 pub const HOLD_PREFIX: &str = "bergamot/hold/";
 
-/// Below it are records of requests under which upstreams ended. A VM that does not know them leaves them out.
+/// Prefix of the records of requests that were running when upstreams crashed. Versions that do not
+/// know these records ignore them.
 pub const QUARANTINE_PREFIX: &str = "bergamot/quarantine/";
 
-/// The key of a quarantine's record, the same whoever writes it.
-pub fn quarantine_key(print: RequestPrint) -> String {
-    format!("{QUARANTINE_PREFIX}held/{print}")
+/// Returns the key of a quarantine's record, which is the same for every writer.
+pub fn quarantine_key(fingerprint: RequestPrint) -> String {
+    format!("{QUARANTINE_PREFIX}held/{fingerprint}")
 }
 
-/// The key of a record that a process writes once: its VM, a number drawn at its start, and a count.
-pub fn crash_key(vm: &VmId, start: u32, count: u64) -> String {
-    format!("{QUARANTINE_PREFIX}seen/{vm}-{start:08x}-{count}")
+/// Returns the key of a record that a process writes once. Consists of its VM, a random number
+/// drawn at the start of the process, and a sequence number.
+pub fn crash_key(vm: &VmId, process_tag: u32, sequence: u64) -> String {
+    format!("{QUARANTINE_PREFIX}seen/{vm}-{process_tag:08x}-{sequence}")
 }
 
-/// Writes the ids of held members.
+/// Encodes the ids of held members.
 pub fn hold_to_bytes(members: &[UpstreamId]) -> Vec<u8> {
     postcard::to_stdvec(members).unwrap_or_else(|error| {
         log::error!("event=record_not_written reason={error:?}");
@@ -41,7 +43,7 @@
     })
 }
 
-/// Reads the ids of held members; none when they are of another format.
+/// Decodes the ids of held members. Returns `None` if the bytes have another format.
 pub fn hold_from_bytes(bytes: &[u8]) -> Option<Vec<UpstreamId>> {
     postcard::from_bytes(bytes).ok()
 }
@@ -51,16 +53,16 @@
 pub struct EntryRecord {
     /// The VM's name.
     pub vm: String,
-    /// Where its peers send datagrams, and ask for news.
+    /// Address to which peers send datagrams and requests for store updates.
     pub peer_addr: SocketAddr,
-    /// Where it can be cut off.
+    /// The failure domain in which the VM runs.
     pub failure_domain: FailureDomain,
-    /// Thousandths of a core that it may use.
+    /// CPU share of the VM, in thousandths of a core.
     pub millicores: u32,
 }
 
 impl EntryRecord {
-    /// The record of the VM that runs at `site`.
+    /// Creates the record of the VM described by `site`.
     pub fn of(site: &VmSite) -> Self {
         Self {
             vm: site.vm.to_string(),
@@ -70,7 +72,7 @@
         }
     }
 
-    /// The record as it is kept.
+    /// Encodes the record as it is stored.
     pub fn to_bytes(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_else(|error| {
             log::error!("event=record_not_written reason={error:?}");
@@ -78,7 +80,7 @@
         })
     }
 
-    /// Reads a record; none when it is of another format.
+    /// Decodes a record. Returns `None` if the bytes have another format.
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the duties share.
+//! State that is shared by the threads of the process.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -17,52 +17,54 @@
 use crate::metrics::GatewayMetrics;
 use crate::view::ClusterView;
 
-/// Taken off the time for which a confirmed configuration counts: a request may still wait this
+/// Subtracted from the time for which a confirmed configuration is valid. A request may wait this
 /// long between the check and its arrival at the upstream.
 pub const CONFIRM_MARGIN: Millis = Millis(400);
 
-/// How long a peer's word counts that it has no fresh news: while the store is away each VM asks peers twice a
-/// second, two of them in turn.
-const PEER_AWAY_TIME: Millis = Millis(1_500);
+/// How long a peer's answer that it has no fresh store updates is valid. While the store is
+/// unreachable, each VM asks peers twice a second, alternating between two of them.
+const PEER_STALE_VALIDITY: Millis = Millis(1_500);
 
-/// State that every duty reads.
+/// State that every thread reads.
 pub struct SharedState {
-    /// Where this process runs.
+    /// Settings of this process, as read at its start.
     pub site: VmSite,
-    /// The bounds in force; a reload changes them.
+    /// The bounds in force. A reload changes them.
     bounds: ArcSwap<ServingBounds>,
-    /// The clock of all times here.
+    /// The clock that all times in this state refer to.
     pub clock: BootClock,
     /// The metrics.
     pub metrics: GatewayMetrics,
-    /// What was read from the store.
+    /// The latest view of the store's contents.
     pub view: ArcSwap<ClusterView>,
-    /// Tells of each new view.
+    /// Counts views. A change notifies subscribers of a new view or the start of a stop.
     pub view_changed: watch::Sender<u64>,
-    /// When the last read that showed the newest configuration began, in milliseconds; 0: never.
+    /// When the last read started that confirmed the newest configuration, in milliseconds. 0 means
+    /// never.
     confirmed_at: AtomicU64,
-    /// When a peer last said that it has no fresh news either, in milliseconds; 0: never.
-    peer_away_at: AtomicU64,
-    /// Whether the store did not answer the last call.
-    store_away: AtomicBool,
+    /// When a peer last answered that it has no fresh store updates either, in milliseconds. 0
+    /// means never.
+    peer_stale_at: AtomicU64,
+    /// Whether the last call to the store failed.
+    store_unreachable: AtomicBool,
     /// Whether the process is stopping.
     pub stopping: AtomicBool,
-    /// Whether a caller's request has come in since the start.
+    /// Whether a caller's request has arrived since the start.
     pub has_traffic: AtomicBool,
-    /// When the signal to stop came, in milliseconds; 0: not yet.
-    stop_began: AtomicU64,
-    /// What callers ask of each model here.
+    /// When the stop signal arrived, in milliseconds. 0 means not yet.
+    stop_started_at: AtomicU64,
+    /// Demand of this VM's callers, by model.
     pub demand: ArcSwap<IndexMap<ModelName, ModelDemand>>,
-    /// Leaders from which nothing comes, for the coordinator.
+    /// Notices of stalled leaders, for the coordinator.
     pub stall_notices: mpsc::Sender<QuietNotice>,
-    /// Requests under which upstreams ended.
+    /// Requests that were running when upstreams crashed.
     pub quarantine: Mutex<QuarantineState>,
-    /// Records of them that are to be written to the store.
+    /// Quarantine records to write to the store.
     pub records: mpsc::Sender<QuarantineRecord>,
 }
 
 impl SharedState {
-    /// The state of a process that has just started.
+    /// Creates the state of a process that has just started.
     pub fn new(
         site: VmSite,
         stall_notices: mpsc::Sender<QuietNotice>,
@@ -71,7 +73,7 @@
         Self::with_clock(site, stall_notices, records, BootClock::default())
     }
 
-    /// The same with this clock.
+    /// Creates the state of a process that has just started, with the given clock.
     pub fn with_clock(
         site: VmSite,
         stall_notices: mpsc::Sender<QuietNotice>,
@@ -86,11 +88,11 @@
             view: ArcSwap::from_pointee(ClusterView::default()),
             view_changed: watch::channel(0).0,
             confirmed_at: AtomicU64::new(0),
-            peer_away_at: AtomicU64::new(0),
-            store_away: AtomicBool::new(false),
+            peer_stale_at: AtomicU64::new(0),
+            store_unreachable: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
             has_traffic: AtomicBool::new(false),
-            stop_began: AtomicU64::new(0),
+            stop_started_at: AtomicU64::new(0),
             demand: ArcSwap::default(),
             stall_notices,
             quarantine: Mutex::default(),
@@ -98,22 +100,23 @@
         })
     }
 
-    /// The bounds in force.
+    /// Returns the bounds in force.
     pub fn bounds(&self) -> ServingBounds {
         **self.bounds.load()
     }
 
-    /// Takes over what a reload may change: the bounds. Addresses and names stay until a restart.
+    /// Applies what a reload may change, the bounds. Addresses and names change only with a
+    /// restart.
     pub fn reload(&self, site: &VmSite) {
-        let known = self.bounds();
-        let same_place = VmSite {
+        let current_bounds = self.bounds();
+        let fixed_settings = VmSite {
             bounds: self.site.bounds,
             ..site.clone()
         };
-        if same_place != self.site {
+        if fixed_settings != self.site {
             log::warn!("event=reload outcome=needs_restart site={site:?}");
         }
-        if known == site.bounds {
+        if current_bounds == site.bounds {
             log::info!("event=reload outcome=unchanged");
             return;
         }
@@ -121,43 +124,44 @@
         log::info!("event=reload outcome=changed bounds={:?}", site.bounds);
     }
 
-    /// Notes that a read begun at `began` showed the newest configuration.
-    pub fn record_confirmation(&self, began: Millis) {
-        self.confirmed_at.fetch_max(began.0, Ordering::SeqCst);
+    /// Records that a read started at `started_at` confirmed the newest configuration.
+    pub fn record_confirmation(&self, started_at: Millis) {
+        self.confirmed_at.fetch_max(started_at.0, Ordering::SeqCst);
     }
 
-    /// Notes that a peer has no fresh news of the store either.
+    /// Records that a peer has no fresh store updates either.
     pub fn record_stale_peer(&self, now: Millis) {
-        self.peer_away_at.fetch_max(now.0, Ordering::SeqCst);
+        self.peer_stale_at.fetch_max(now.0, Ordering::SeqCst);
     }
 
-    /// Whether peers are known to have no fresh news of the store either.
+    /// Whether a peer recently answered that it has no fresh store updates either.
     pub fn are_peers_stale(&self, now: Millis) -> bool {
-        let at = Millis(self.peer_away_at.load(Ordering::SeqCst));
-        now.since(at) < PEER_AWAY_TIME
+        let reported_at = Millis(self.peer_stale_at.load(Ordering::SeqCst));
+        now.since(reported_at) < PEER_STALE_VALIDITY
     }
 
-    /// Notes whether the store answers.
-    pub fn set_store_unreachable(&self, is_away: bool) {
-        self.store_away.store(is_away, Ordering::SeqCst);
+    /// Sets whether the last call to the store failed.
+    pub fn set_store_unreachable(&self, is_unreachable: bool) {
+        self.store_unreachable
+            .store(is_unreachable, Ordering::SeqCst);
     }
 
-    /// Whether the store did not answer the last call.
+    /// Whether the last call to the store failed.
     pub fn is_store_unreachable(&self) -> bool {
-        self.store_away.load(Ordering::SeqCst)
+        self.store_unreachable.load(Ordering::SeqCst)
     }
 
-    /// How long ago the newest configuration was confirmed.
+    /// Returns the time since the newest configuration was confirmed.
     pub fn config_age(&self, now: Millis) -> Millis {
         now.since(Millis(self.confirmed_at.load(Ordering::SeqCst)))
     }
 
-    /// Whether a caller's key may still be trusted.
+    /// Whether the configuration was confirmed recently enough to accept callers' API keys.
     pub fn is_confirmed(&self, now: Millis) -> bool {
-        let Some(bound) = self.bounds().revoke_time else {
+        let Some(revoke_time) = self.bounds().revoke_time else {
             return true;
         };
-        self.config_age(now) < bound.since(CONFIRM_MARGIN)
+        self.config_age(now) < revoke_time.since(CONFIRM_MARGIN)
     }
 
     /// Whether this VM coordinates the groups.
@@ -177,20 +181,21 @@
         self.stopping.load(Ordering::SeqCst)
     }
 
-    /// Notes the signal to stop.
+    /// Records the stop signal and notifies subscribers of the view.
     pub fn begin_stop(&self) {
-        self.stop_began.store(self.clock.now().0, Ordering::SeqCst);
+        self.stop_started_at
+            .store(self.clock.now().0, Ordering::SeqCst);
         self.stopping.store(true, Ordering::SeqCst);
         self.view_changed.send_modify(|count| *count += 1);
     }
 
-    /// How long ago the signal to stop came. None before it.
+    /// Returns the time since the stop signal, or `None` before it.
     pub fn stop_age(&self, now: Millis) -> Option<Millis> {
-        let began = Millis(self.stop_began.load(Ordering::SeqCst));
-        self.is_stopping().then(|| now.since(began))
+        let stop_started_at = Millis(self.stop_started_at.load(Ordering::SeqCst));
+        self.is_stopping().then(|| now.since(stop_started_at))
     }
 
-    /// Publishes a new view.
+    /// Replaces the view and notifies its subscribers.
     pub fn publish(&self, view: ClusterView) {
         self.view.store(Arc::new(view));
         self.view_changed.send_modify(|count| *count += 1);
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -1,4 +1,4 @@
-//! Carries out what the life cycle of the process asks for.
+//! Carries out the actions of the shutdown state machine.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -11,11 +11,12 @@
 
 use crate::shared::SharedState;
 
-/// Time between two looks at the clock during a stop. Timers stand still while a VM is suspended, its grace does not.
-const STOP_LOOK: Duration = Duration::from_millis(50);
+/// Time between two checks of the clock during a stop. Timers pause while a VM is suspended, but
+/// its grace period does not.
+const STOP_POLL_PERIOD: Duration = Duration::from_millis(50);
 
-/// The life cycle of this process, with the means to carry it out. Lives on the callers' thread, so that nothing can be
-/// accepted between a decision and what it does.
+/// The shutdown state of this process, and the means to carry out its actions. Runs on the callers'
+/// thread, so that no connection can be accepted between a decision and its effect.
 pub struct StopControl {
     shared: Arc<SharedState>,
     state: RefCell<ShutdownState>,
@@ -26,7 +27,7 @@
 }
 
 impl StopControl {
-    /// A process that serves.
+    /// Creates the control of a process that serves.
     pub fn new(shared: Arc<SharedState>) -> Self {
         Self {
             shared,
@@ -37,9 +38,9 @@
         }
     }
 
-    /// Begins a stop. Later signals change nothing.
+    /// Begins a stop. Later signals have no effect.
     pub fn signal(&self) {
-        // Announcing the stop sets it.
+        // `ShutdownAction::Announce` sets the flag, so it must be read before.
         let is_first = !self.shared.is_stopping();
         let options = ShutdownOptions::within(self.shared.bounds().stop_grace);
         self.handle(ShutdownEvent::Signalled(options));
@@ -51,7 +52,8 @@
         }
     }
 
-    /// Counts a connection that was accepted, until the guard is dropped. None where it came too late to be read.
+    /// Counts an accepted connection until the guard is dropped. Returns `None` if it arrived too
+    /// late to be read.
     pub fn accept(self: &Rc<Self>) -> Option<ConnectionGuard> {
         let actions = self.handle(ShutdownEvent::Accepted);
         let is_rejected = actions.contains(&ShutdownAction::Reject);
@@ -60,31 +62,33 @@
         })
     }
 
-    /// Notes that the listener is closed, and that all it had accepted is counted.
+    /// Records that the listener is closed and all its accepted connections are counted.
     pub fn record_listener_closed(&self) {
         self.handle(ShutdownEvent::ListenerClosed);
     }
 
-    /// When a request that is read now must be over. None while every request is taken.
+    /// Returns the time by which a request read now must be complete, or `None` while every request
+    /// is accepted.
     pub fn answer_deadline(&self, now: Millis) -> Option<Millis> {
         self.state.borrow().answer_deadline(now)
     }
 
-    /// Whether the end is decided, so that nothing may be sent on any more.
+    /// Whether the exit is decided, so that no request may be sent to an upstream.
     pub fn has_ended(&self) -> bool {
         self.has_ended.get()
     }
 
-    /// Tells when the listener and idle connections are to be closed.
+    /// Returns a receiver that turns `true` when the listener and idle connections are to be
+    /// closed.
     pub fn closing(&self) -> watch::Receiver<bool> {
         self.closing.subscribe()
     }
 
-    /// Returns when the process is to end.
+    /// Waits until the process is to exit.
     pub async fn wait_end(&self) {
         while !self.has_ended() {
-            // A wake-up that is missed is made up for by the next look.
-            let _ = tokio::time::timeout(STOP_LOOK, self.ended.notified()).await;
+            // A missed wake-up is covered by the next check.
+            let _ = tokio::time::timeout(STOP_POLL_PERIOD, self.ended.notified()).await;
             self.handle(ShutdownEvent::TimePassed);
         }
     }
@@ -96,8 +100,10 @@
             self.act(now, *action);
         }
         let connections = self.state.borrow().connections();
-        let gauge = i64::try_from(connections).unwrap_or(i64::MAX);
-        self.shared.metrics.set_state("caller_connections", gauge);
+        let connection_count = i64::try_from(connections).unwrap_or(i64::MAX);
+        self.shared
+            .metrics
+            .set_state("caller_connections", connection_count);
         actions
     }
 
@@ -113,8 +119,8 @@
             }
             ShutdownAction::Reject => log::debug!("event=caller_lost reason=stopping"),
             ShutdownAction::Exit { cut } => {
-                let since = self.shared.stop_age(now).unwrap_or_default();
-                log::info!("event=stopped connections={cut} since_stop={since}");
+                let since_stop = self.shared.stop_age(now).unwrap_or_default();
+                log::info!("event=stopped connections={cut} since_stop={since_stop}");
                 self.has_ended.set(true);
                 self.ended.notify_one();
             }
@@ -122,7 +128,7 @@
     }
 }
 
-/// Counts a connection of a caller until dropped.
+/// Keeps a caller's connection counted until dropped.
 pub struct ConnectionGuard {
     stop: Rc<StopControl>,
 }
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -1,4 +1,4 @@
-//! What requests are routed by: the configuration and the upstreams, as they were last read.
+//! The view of the cluster that requests are routed by: configuration and upstreams, as last read.
 
 use std::sync::Arc;
 
@@ -14,40 +14,40 @@
 pub struct ServicePool {
     /// Instances of a plain service.
     pub plain: Vec<RouteUpstream>,
-    /// Leaders of serving groups by model.
+    /// Leaders of serving groups, by model.
     pub models: IndexMap<ModelName, Vec<RouteUpstream>>,
 }
 
 /// Everything that was read from the store.
 #[derive(Clone, Debug, Default)]
 pub struct ClusterView {
-    /// The configuration in force; none before the first.
+    /// The configuration in force. `None` until one has been read.
     pub config: Option<Arc<ServingConfig>>,
-    /// Entries of the directory.
+    /// Entries of the directory, by upstream.
     pub upstreams: IndexMap<UpstreamId, UpstreamEntry>,
     /// The revision of the newest change.
     pub revision: u64,
-    /// Upstreams by service.
+    /// Upstreams that accept new requests, by service.
     pub pools: IndexMap<ServiceName, ServicePool>,
-    /// Entry VMs by name.
+    /// Records of the entry VMs, by name.
     pub entries: IndexMap<String, EntryRecord>,
-    /// Who coordinates the groups.
+    /// The VM that coordinates the groups.
     pub coordinator: Option<EntryRecord>,
-    /// Members that are held, by group.
+    /// Held members, by group.
     pub holds: IndexMap<String, Vec<UpstreamId>>,
-    /// Revision of the last change of the coordinator; 0 if there never was one.
+    /// Revision of the last change of coordinator. 0 if there never was a coordinator.
     pub term: u64,
 }
 
 impl ClusterView {
-    /// Whether this run of an upstream is in the directory.
+    /// Whether the directory lists this incarnation of an upstream.
     pub fn is_listed(&self, incarnation: &UpstreamIncarnation) -> bool {
         let entry = self.upstreams.get(&incarnation.id);
         entry.is_some_and(|entry| entry.incarnation == *incarnation)
     }
 }
 
-/// Sorts the upstreams that take new work by service. Costs one pass over the directory.
+/// Groups the upstreams that accept new requests by service, in one pass over the directory.
 pub fn build_pools(
     config: &ServingConfig,
     upstreams: &IndexMap<UpstreamId, UpstreamEntry>,
@@ -65,17 +65,20 @@
             pool.plain.push(route_upstream(entry, entry.slots, None));
             continue;
         };
-        let leads = entry
+        let leader_membership = entry
             .membership
             .as_ref()
             .filter(|membership| membership.rank == 0 && membership.state == MemberState::Open);
-        if leads.is_none() {
+        if leader_membership.is_none() {
             continue;
         }
         let Some(model) = led_model(entry) else {
             continue;
         };
-        let pace = engine.models.get(&model).map_or(1.0, |it| it.pace);
+        let pace = engine
+            .models
+            .get(&model)
+            .map_or(1.0, |model_spec| model_spec.pace);
         let speed = engine.speed.map(|speed| speed.scaled_by_pace(pace));
         let upstream = route_upstream(entry, engine.slots, speed);
         pool.models.entry(model).or_default().push(upstream);
@@ -83,13 +86,13 @@
     pools
 }
 
-/// The model a leader's group runs.
+/// Returns the model that a leader's group runs.
 fn led_model(entry: &UpstreamEntry) -> Option<ModelName> {
     let group = entry.membership.as_ref()?.group.as_str();
-    let named = group
+    let named_model = group
         .rsplit_once('.')
         .map(|(model, _)| ModelName::new(model));
-    named.or_else(|| entry.models.first().cloned())
+    named_model.or_else(|| entry.models.first().cloned())
 }
 
 fn route_upstream(entry: &UpstreamEntry, slots: u32, speed: Option<EngineSpeed>) -> RouteUpstream {
@@ -98,7 +101,10 @@
         addr: entry.addr,
         failure_domain: entry.failure_domain.clone(),
         slots,
-        group: entry.membership.as_ref().map(|it| it.group.clone()),
+        group: entry
+            .membership
+            .as_ref()
+            .map(|membership| membership.group.clone()),
         speed,
     }
 }
