--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts the duties and stops them.
+//! Starts the threads of the daemon and stops them.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -26,25 +26,25 @@
 use crate::shared::SharedState;
 use crate::signals::{ProcessSignal, SignalSet};
 use crate::stop::StopControl;
-use crate::sync::SyncDuty;
+use crate::sync::StoreSync;
 
-/// Leaders at which requests stand still that wait for the groups' duty at most.
-const QUIET_RING: usize = 256;
-/// Records of requests under which upstreams ended that wait for the store at most: a minute of one leader that ends each
-/// second with 16 streams from here.
-const RECORD_RING: usize = 1_024;
-/// Time between two looks at the settings, which may change without a signal.
+/// Capacity of a channel of stall notices to the groups thread.
+const STALL_NOTICE_CAPACITY: usize = 256;
+/// Capacity of the channel of quarantine records that wait to be stored. Covers a minute in which
+/// one leader crashes every second with 16 streams from this VM.
+const RECORD_CAPACITY: usize = 1_024;
+/// Period at which the settings are read again, as they may change without a signal.
 const RELOAD_PERIOD: Duration = Duration::from_secs(5);
 
-/// Reads the settings again.
+/// Function that reads the settings.
 pub type SettingsReader = Box<dyn Fn() -> anyhow::Result<VmSite> + Send>;
 
-/// The daemon.
+/// The daemon of an entry VM.
 pub struct GatewayDaemon<Ports> {
     shared: Arc<SharedState>,
     ports: Ports,
-    reader: Option<SettingsReader>,
-    quiet: mpsc::Receiver<QuietNotice>,
+    read_settings: Option<SettingsReader>,
+    stall_notices: mpsc::Receiver<QuietNotice>,
     records: mpsc::Receiver<QuarantineRecord>,
 }
 
@@ -52,49 +52,49 @@
 where
     Ports: PortSet,
 {
-    /// A daemon for a site. Nothing is started yet.
+    /// Creates the daemon of a site without starting it.
     pub fn new(site: VmSite, ports: Ports) -> Self {
-        let (quiet_sender, quiet) = mpsc::channel(QUIET_RING);
-        let (record_sender, records) = mpsc::channel(RECORD_RING);
+        let (stall_sender, stall_notices) = mpsc::channel(STALL_NOTICE_CAPACITY);
+        let (record_sender, records) = mpsc::channel(RECORD_CAPACITY);
         Self {
-            shared: SharedState::new(site, quiet_sender, record_sender),
+            shared: SharedState::new(site, stall_sender, record_sender),
             ports,
-            reader: None,
-            quiet,
+            read_settings: None,
+            stall_notices,
             records,
         }
     }
 
-    /// Reads the settings again on a hang-up signal, and now and then.
+    /// Sets the function that reads the settings again on `SIGHUP` and periodically.
     #[must_use]
-    pub fn with_reader(mut self, reader: SettingsReader) -> Self {
-        self.reader = Some(reader);
+    pub fn with_reader(mut self, read_settings: SettingsReader) -> Self {
+        self.read_settings = Some(read_settings);
         self
     }
 
-    /// Runs until the process is told to stop and nothing is in flight any more.
+    /// Runs until the process has received a stop signal and no request is in flight.
     ///
     /// # Errors
-    /// When an address cannot be bound or a thread cannot be started.
+    /// If an address cannot be bound or a thread cannot be started.
     pub fn run(self) -> anyhow::Result<()> {
         let site = self.shared.site.clone();
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()?;
-        // Before callers can connect: until signals are taken over, one ends the process at once.
+        // Done before callers can connect: a signal without a handler ends the process at once.
         let signals = {
             let _entered = runtime.enter();
-            SignalSet::take()?
+            SignalSet::install()?
         };
-        let caller = bind(site.caller_addr)?;
-        let ready = bind(site.ready_addr)?;
-        let metrics = bind(site.metrics_addr)?;
-        let peer = std::net::UdpSocket::bind(site.peer_addr)
-            .with_context(|| format!("peer address {}", site.peer_addr))?;
-        peer.set_nonblocking(true)?;
-        let peer_sender = peer.try_clone()?;
-        let news = bind(site.peer_addr)?;
-        let (doubt_sender, doubts) = mpsc::channel(QUIET_RING);
+        let caller_listener = bind(site.caller_addr)?;
+        let ready_listener = bind(site.ready_addr)?;
+        let metrics_listener = bind(site.metrics_addr)?;
+        let peer_socket = std::net::UdpSocket::bind(site.peer_addr)
+            .with_context(|| format!("cannot bind peer address {}", site.peer_addr))?;
+        peer_socket.set_nonblocking(true)?;
+        let peer_sender = peer_socket.try_clone()?;
+        let feed_listener = bind(site.peer_addr)?;
+        let (peer_stall_sender, peer_stall_notices) = mpsc::channel(STALL_NOTICE_CAPACITY);
         log::info!(
             "event=started vm={} failure_domain={} callers={} peers={}",
             site.vm,
@@ -103,14 +103,18 @@
             site.peer_addr
         );
         let (shared, ports, records) = (Arc::clone(&self.shared), self.ports.clone(), self.records);
-        spawn_duty("store", move || async move {
+        spawn_thread("store", move || async move {
             let store = Rc::new(ports.store());
-            SyncDuty::new(shared, store, ports.catalog())
-                .run(news, records)
+            StoreSync::new(shared, store, ports.catalog())
+                .run(feed_listener, records)
                 .await;
         })?;
-        let (shared, ports, quiet) = (Arc::clone(&self.shared), self.ports.clone(), self.quiet);
-        spawn_duty("groups", move || async move {
+        let (shared, ports, stall_notices) = (
+            Arc::clone(&self.shared),
+            self.ports.clone(),
+            self.stall_notices,
+        );
+        spawn_thread("groups", move || async move {
             let socket = match UdpSocket::from_std(peer_sender) {
                 Ok(socket) => socket,
                 Err(error) => {
@@ -120,42 +124,49 @@
             };
             let store = Rc::new(ports.store());
             let control = Rc::new(ports.control());
-            GroupCoordinator::new(shared, store, control, quiet, doubts, socket)
-                .run()
-                .await;
+            GroupCoordinator::new(
+                shared,
+                store,
+                control,
+                stall_notices,
+                peer_stall_notices,
+                socket,
+            )
+            .run()
+            .await;
         })?;
         let shared = Arc::clone(&self.shared);
-        spawn_duty("metrics", move || serve_metrics(shared, metrics))?;
+        spawn_thread("metrics", move || serve_metrics(shared, metrics_listener))?;
         let local = LocalSet::new();
         local.block_on(
             &runtime,
             serve(
                 self.shared,
                 self.ports,
-                self.reader,
+                self.read_settings,
                 signals,
                 FrontSockets {
-                    caller,
-                    ready,
-                    peer,
+                    caller_listener,
+                    ready_listener,
+                    peer_socket,
                 },
-                doubt_sender,
+                peer_stall_sender,
             ),
         )
     }
 }
 
 fn bind(addr: SocketAddr) -> anyhow::Result<std::net::TcpListener> {
-    let listener =
-        std::net::TcpListener::bind(addr).with_context(|| format!("listen address {addr}"))?;
+    let listener = std::net::TcpListener::bind(addr)
+        .with_context(|| format!("cannot bind listen address {addr}"))?;
     listener.set_nonblocking(true)?;
     Ok(listener)
 }
 
-fn spawn_duty<Duty, Work>(name: &str, duty: Duty) -> anyhow::Result<()>
+fn spawn_thread<Task, TaskFuture>(name: &str, task: Task) -> anyhow::Result<()>
 where
-    Duty: FnOnce() -> Work + Send + 'static,
-    Work: Future<Output = ()> + 'static,
+    Task: FnOnce() -> TaskFuture + Send + 'static,
+    TaskFuture: Future<Output = ()> + 'static,
 {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -164,58 +175,58 @@
         .name(format!("duty-{name}"))
         .spawn(move || {
             let local = LocalSet::new();
-            local.block_on(&runtime, async move { duty().await });
+            local.block_on(&runtime, async move { task().await });
         })?;
     Ok(())
 }
 
-/// What the callers' duty listens on.
+/// Sockets of the thread that serves callers.
 struct FrontSockets {
-    caller: std::net::TcpListener,
-    ready: std::net::TcpListener,
-    peer: std::net::UdpSocket,
+    caller_listener: std::net::TcpListener,
+    ready_listener: std::net::TcpListener,
+    peer_socket: std::net::UdpSocket,
 }
 
 async fn serve<Ports>(
     shared: Arc<SharedState>,
     ports: Ports,
-    reader: Option<SettingsReader>,
+    read_settings: Option<SettingsReader>,
     mut signals: SignalSet,
     sockets: FrontSockets,
-    doubts: mpsc::Sender<QuietNotice>,
+    peer_stall_notices: mpsc::Sender<QuietNotice>,
 ) -> anyhow::Result<()>
 where
     Ports: PortSet,
 {
-    let (crash_sender, crash_news) = mpsc::channel(RECORD_RING);
-    let (still_sender, still_news) = mpsc::channel(RECORD_RING);
-    let (quota_sender, quota_news) = mpsc::channel(RECORD_RING);
+    let (crash_sender, crash_notices) = mpsc::channel(RECORD_CAPACITY);
+    let (stall_sender, leader_stall_notices) = mpsc::channel(RECORD_CAPACITY);
+    let (limit_sender, limit_notices) = mpsc::channel(RECORD_CAPACITY);
     let front = FrontContext::new(
         Arc::clone(&shared),
         ports.dialect(),
         crash_sender,
-        still_sender,
-        quota_sender,
+        stall_sender,
+        limit_sender,
     );
     let front = Rc::new(front);
-    let caller = TcpListener::from_std(sockets.caller)?;
-    let ready = TcpListener::from_std(sockets.ready)?;
-    let peer = UdpSocket::from_std(sockets.peer)?;
-    tokio::task::spawn_local(accept_callers(Rc::clone(&front), caller));
-    tokio::task::spawn_local(accept_ready(Rc::clone(&front), ready));
+    let caller_listener = TcpListener::from_std(sockets.caller_listener)?;
+    let ready_listener = TcpListener::from_std(sockets.ready_listener)?;
+    let peer_socket = UdpSocket::from_std(sockets.peer_socket)?;
+    tokio::task::spawn_local(accept_callers(Rc::clone(&front), caller_listener));
+    tokio::task::spawn_local(accept_ready(Rc::clone(&front), ready_listener));
     tokio::task::spawn_local(sweep(Rc::clone(&front)));
     tokio::task::spawn_local(follow_groups(Rc::clone(&front)));
     tokio::task::spawn_local(follow_ends(Rc::clone(&front)));
     tokio::task::spawn_local(review_ends(Rc::clone(&front)));
     tokio::task::spawn_local(exchange(
         Rc::clone(&front),
-        peer,
-        doubts,
-        crash_news,
-        still_news,
-        quota_news,
+        peer_socket,
+        peer_stall_notices,
+        crash_notices,
+        leader_stall_notices,
+        limit_notices,
     ));
-    follow_settings(&shared, reader, &mut signals).await;
+    follow_settings(&shared, read_settings, &mut signals).await;
     front.stop.signal();
     tokio::select! {
         () = front.stop.wait_end() => {}
@@ -224,30 +235,30 @@
     Ok(())
 }
 
-/// Reads the settings again on a hang-up signal, and now and then, until the process is told to stop.
+/// Reads the settings again on `SIGHUP` and periodically, until a stop signal arrives.
 async fn follow_settings(
     shared: &SharedState,
-    reader: Option<SettingsReader>,
+    read_settings: Option<SettingsReader>,
     signals: &mut SignalSet,
 ) {
-    let mut looks = tokio::time::interval(RELOAD_PERIOD);
-    looks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut known = shared.site.clone();
+    let mut reload_ticks = tokio::time::interval(RELOAD_PERIOD);
+    reload_ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut current_site = shared.site.clone();
     loop {
-        let is_told = tokio::select! {
-            told = signals.next() => match told {
+        let is_requested = tokio::select! {
+            signal = signals.next() => match signal {
                 ProcessSignal::Stop => return,
                 ProcessSignal::Reload => true,
             },
-            _ = looks.tick() => false,
+            _ = reload_ticks.tick() => false,
         };
-        let Some(reader) = &reader else {
+        let Some(read_settings) = &read_settings else {
             continue;
         };
-        match reader() {
-            Ok(site) if is_told || site != known => {
+        match read_settings() {
+            Ok(site) if is_requested || site != current_site => {
                 shared.reload(&site);
-                known = site;
+                current_site = site;
             }
             Ok(_) => {}
             Err(error) => log::error!("event=reload outcome=unreadable reason={error:?}"),
@@ -255,7 +266,7 @@
     }
 }
 
-/// Notes signals during a stop, which change nothing.
+/// Logs signals that arrive during a stop; they have no other effect.
 async fn ignore_signals(stop: &StopControl, signals: &mut SignalSet) {
     loop {
         match signals.next().await {
@@ -276,8 +287,8 @@
     loop {
         let stream = next_connection(&listener).await;
         let service = service_fn(|_request| {
-            let text = shared.metrics.render();
-            async move { Ok::<_, std::convert::Infallible>(Response::new(text)) }
+            let metrics_text = shared.metrics.render();
+            async move { Ok::<_, std::convert::Infallible>(Response::new(metrics_text)) }
         });
         let connection = http1::Builder::new()
             .keep_alive(false)
--- a/crates/gateway/src/known.rs
+++ b/crates/gateway/src/known.rs
@@ -1,4 +1,4 @@
-//! What was read from the store so far.
+//! Contents of the store, as far as this VM has read them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,42 +13,44 @@
     hold_from_bytes,
 };
 
-/// Time after the store's return in which entries that lapsed meanwhile come back.
-const LAPSE_GRACE: Millis = Millis(2_000);
+/// Time after the store's return in which entries that expired during the outage may be written
+/// again.
+const EXPIRY_GRACE: Millis = Millis(2_000);
 
-/// A change of the records of requests under which upstreams ended.
-pub(crate) enum CrashNews {
-    /// A record with this key is there.
+/// A change of the stored records of requests that were running when upstreams crashed.
+pub(crate) enum CrashRecordChange {
+    /// The record was written under the key.
     Written(String, QuarantineRecord),
-    /// There is none with this key any more.
+    /// The record under the key was removed.
     Removed(String),
 }
 
-/// What was read so far.
+/// The known contents of the store.
 #[derive(Default)]
 pub(crate) struct KnownState {
     pub(crate) config_revision: u64,
     pub(crate) config: Option<Arc<ServingConfig>>,
-    /// The configuration as it stands in the store, for peers that cannot read it.
+    /// The configuration as stored, for peers that cannot read the store.
     pub(crate) config_item: Option<StoreItem>,
     pub(crate) upstreams: IndexMap<UpstreamId, UpstreamEntry>,
     pub(crate) entries: IndexMap<String, EntryRecord>,
     pub(crate) coordinator: Option<EntryRecord>,
     pub(crate) holds: IndexMap<String, Vec<UpstreamId>>,
     pub(crate) term: u64,
-    /// Where to watch from; none when everything must be read anew.
+    /// Revision up to which all changes are known. `None` if everything must be read again.
     pub(crate) revision: Option<u64>,
-    /// Entries that cannot be read, by the revision that was logged.
+    /// Entries that cannot be decoded, with the revision for which this was logged.
     pub(crate) unreadable: IndexMap<UpstreamId, u64>,
-    /// Upstreams that were taken out since [`Self::log_unlisted`].
+    /// Upstreams removed since the last [`Self::log_unlisted`].
     unlisted: Vec<UpstreamId>,
-    /// Records of requests under which upstreams ended, since they were last taken: written ones and removed ones.
-    crash_news: Vec<CrashNews>,
-    /// Removed entries that may come back, and until when they are kept.
-    pub(crate) lapsed: IndexMap<UpstreamId, Millis>,
-    /// Whether the store did not answer the last call.
-    pub(crate) is_away: bool,
-    pub(crate) returned_at: Option<Millis>,
+    /// Changes of crash records since they were last taken.
+    crash_record_changes: Vec<CrashRecordChange>,
+    /// Removed entries that may be written again, with the time at which they are dropped.
+    pub(crate) expired: IndexMap<UpstreamId, Millis>,
+    /// Whether the last call to the store failed.
+    pub(crate) is_store_unreachable: bool,
+    /// When the store last came back from an outage.
+    pub(crate) store_returned_at: Option<Millis>,
 }
 
 impl KnownState {
@@ -68,7 +70,8 @@
                 } else if let Some(group) = key.strip_prefix(HOLD_PREFIX) {
                     self.holds.shift_remove(group);
                 } else if key.starts_with(QUARANTINE_PREFIX) {
-                    self.crash_news.push(CrashNews::Removed(key));
+                    self.crash_record_changes
+                        .push(CrashRecordChange::Removed(key));
                 }
             }
         }
@@ -106,7 +109,8 @@
         match QuarantineRecord::from_bytes(&item.value) {
             Ok(record) => {
                 let key = item.key.clone();
-                self.crash_news.push(CrashNews::Written(key, record));
+                self.crash_record_changes
+                    .push(CrashRecordChange::Written(key, record));
             }
             Err(error) => {
                 log::warn!("event=value_unreadable key={} reason=\"{error}\"", item.key);
@@ -114,13 +118,13 @@
         }
     }
 
-    /// Takes what was heard of requests under which upstreams ended.
-    pub(crate) fn take_crash_news(&mut self) -> Vec<CrashNews> {
-        std::mem::take(&mut self.crash_news)
+    /// Takes the changes of crash records since the last call.
+    pub(crate) fn take_crash_record_changes(&mut self) -> Vec<CrashRecordChange> {
+        std::mem::take(&mut self.crash_record_changes)
     }
 
-    /// Takes over an upstream's entry, unless a later run of it is known: a write of the earlier one may arrive
-    /// late.
+    /// Applies an upstream's entry, unless a later incarnation is known, as a write of an earlier
+    /// incarnation may arrive late.
     fn apply_entry(&mut self, entry: UpstreamEntry, revision: u64) {
         let id = &entry.incarnation.id;
         let known = self.upstreams.get(id);
@@ -128,7 +132,11 @@
             known.filter(|known| known.incarnation.is_newer_than(&entry.incarnation))
         {
             if entry.incarnation.started_at.is_none() {
-                return self.apply_unreadable(&id.clone(), revision, "it says no birth any more");
+                return self.apply_unreadable(
+                    &id.clone(),
+                    revision,
+                    "the entry no longer states the start of its incarnation",
+                );
             }
             log::info!(
                 "event=entry_outdated upstream={:?} known={:?}",
@@ -137,18 +145,18 @@
             );
             return;
         }
-        self.lapsed.shift_remove(id);
+        self.expired.shift_remove(id);
         self.unreadable.shift_remove(id);
         self.upstreams.insert(id.clone(), entry);
     }
 
-    /// Takes an upstream out whose entry cannot be read: it names none from now on.
+    /// Removes an upstream whose entry cannot be decoded and so no longer describes it.
     fn apply_unreadable(&mut self, id: &UpstreamId, revision: u64, reason: &str) {
-        // An item is read again with every page that holds it.
+        // The same item is read again with every page that contains it, so it is logged once.
         if self.unreadable.insert(id.clone(), revision) != Some(revision) {
             log::warn!("event=entry_unreadable upstream={id} reason={reason:?}");
         }
-        self.lapsed.shift_remove(id);
+        self.expired.shift_remove(id);
         self.upstreams.shift_remove(id);
     }
 
@@ -182,33 +190,34 @@
         }
     }
 
-    /// Takes out the upstreams that are not among these.
-    pub(crate) fn keep_listed(&mut self, listed: &[UpstreamId], now: Millis) {
+    /// Removes the upstreams that are not in `listed`.
+    pub(crate) fn retain_listed(&mut self, listed: &[UpstreamId], now: Millis) {
         let listed: IndexSet<&UpstreamId> = listed.iter().collect();
         self.unreadable.retain(|id, _| listed.contains(id));
-        let missing = self.upstreams.keys().filter(|id| !listed.contains(id));
-        let missing: Vec<UpstreamId> = missing.cloned().collect();
-        for id in missing {
+        let missing_ids = self.upstreams.keys().filter(|id| !listed.contains(id));
+        let missing_ids: Vec<UpstreamId> = missing_ids.cloned().collect();
+        for id in missing_ids {
             self.remove_upstream(&id, now);
         }
     }
 
-    /// Notes that the store came back at this moment.
-    pub(crate) fn note_return(&mut self, at: Millis) {
-        self.returned_at = self.returned_at.max(Some(at));
+    /// Records that the store came back from an outage at `at`.
+    pub(crate) fn record_store_return(&mut self, at: Millis) {
+        self.store_returned_at = self.store_returned_at.max(Some(at));
     }
 
-    /// Takes an entry out, at once or when it has had time to come back after an outage.
+    /// Removes an entry, at once or, around an outage, after the grace in which it may be written
+    /// again.
     pub(crate) fn remove_upstream(&mut self, id: &UpstreamId, now: Millis) {
         self.unreadable.shift_remove(id);
-        let grace_end = self.returned_at.map(|at| at + LAPSE_GRACE);
-        let keeps_until = match self.is_away {
-            true => Some(now + LAPSE_GRACE),
+        let grace_end = self.store_returned_at.map(|at| at + EXPIRY_GRACE);
+        let removal_at = match self.is_store_unreachable {
+            true => Some(now + EXPIRY_GRACE),
             false => grace_end.filter(|end| *end > now),
         };
-        match keeps_until {
+        match removal_at {
             Some(until) => {
-                self.lapsed.entry(id.clone()).or_insert(until);
+                self.expired.entry(id.clone()).or_insert(until);
             }
             None => {
                 self.upstreams.shift_remove(id);
@@ -217,55 +226,56 @@
         }
     }
 
-    /// Logs which upstreams were taken out, in one line for all of one change: a line for each by each of 195 VMs
-    /// was a quarter of the log.
+    /// Logs the upstreams removed by one change in one line. One line for each upstream from each
+    /// of 195 VMs made up a quarter of the log.
     pub(crate) fn log_unlisted(&mut self) {
         let unlisted = std::mem::take(&mut self.unlisted);
         if !unlisted.is_empty() {
-            log::info!("event=upstream_unlisted upstreams={}", join(&unlisted));
+            log::info!("event=upstream_unlisted upstreams={}", join_ids(&unlisted));
         }
     }
 
-    /// Time until an entry that lapsed has had its time to come back. None while the store is
-    /// away: that time begins with its return.
-    pub(crate) fn until_lapse(&self, now: Millis) -> Option<Duration> {
-        if self.is_away {
+    /// Returns the time until the grace of the next expired entry ends. `None` if there is no such
+    /// entry or the store is unreachable, as the grace begins with its return.
+    pub(crate) fn time_until_removal(&self, now: Millis) -> Option<Duration> {
+        if self.is_store_unreachable {
             return None;
         }
-        let first = self
-            .lapsed
+        let earliest_removal = self
+            .expired
             .values()
-            .map(|until| self.lapse_end(*until))
+            .map(|until| self.removal_time(*until))
             .min()?;
-        Some(first.since(now).as_duration() + Duration::from_millis(1))
+        Some(earliest_removal.since(now).as_duration() + Duration::from_millis(1))
     }
 
-    fn lapse_end(&self, until: Millis) -> Millis {
-        let grace_end = self.returned_at.map(|at| at + LAPSE_GRACE);
+    fn removal_time(&self, until: Millis) -> Millis {
+        let grace_end = self.store_returned_at.map(|at| at + EXPIRY_GRACE);
         grace_end.map_or(until, |end| end.max(until))
     }
 
-    /// Takes out the entries that did not come back in time. True if there were any.
-    pub(crate) fn expire_lapsed(&mut self, now: Millis) -> bool {
-        if self.is_away {
+    /// Removes the entries that were not written again within the grace. Returns whether there were
+    /// any.
+    pub(crate) fn remove_expired(&mut self, now: Millis) -> bool {
+        if self.is_store_unreachable {
             return false;
         }
-        let due = self.lapsed.iter();
-        let due = due.filter(|(_, until)| self.lapse_end(**until) <= now);
-        let due: Vec<UpstreamId> = due.map(|(id, _)| id.clone()).collect();
-        for id in &due {
-            self.lapsed.shift_remove(id);
+        let due_ids = self.expired.iter();
+        let due_ids = due_ids.filter(|(_, until)| self.removal_time(**until) <= now);
+        let due_ids: Vec<UpstreamId> = due_ids.map(|(id, _)| id.clone()).collect();
+        for id in &due_ids {
+            self.expired.shift_remove(id);
             self.upstreams.shift_remove(id);
         }
-        if !due.is_empty() {
-            log::info!("event=upstream_lapsed upstreams={}", join(&due));
+        if !due_ids.is_empty() {
+            log::info!("event=upstream_lapsed upstreams={}", join_ids(&due_ids));
         }
-        !due.is_empty()
+        !due_ids.is_empty()
     }
 }
 
-/// Ids as a log line has them.
-fn join(ids: &[UpstreamId]) -> String {
+/// Joins ids with commas for a log line.
+fn join_ids(ids: &[UpstreamId]) -> String {
     let ids: Vec<&str> = ids.iter().map(UpstreamId::as_str).collect();
     ids.join(",")
 }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,36 +1,36 @@
-//! The process's metrics, in the prometheus text form.
+//! Metrics of the process, in the Prometheus text format.
 
 use prometheus::{
     Encoder, HistogramOpts, HistogramVec, IntCounterVec, IntGaugeVec, Opts, Registry, TextEncoder,
 };
 
-/// Buckets of times, in seconds: from a plain answer to the longest stream.
+/// Histogram buckets of durations, in seconds. Range from a plain response to the longest stream.
 const TIME_BUCKETS: &[f64] = &[
     0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0, 10.0,
 ];
 
-/// Every metric of the serving path.
+/// All metrics of the serving path.
 pub struct GatewayMetrics {
     registry: Registry,
     /// Requests by route kind and outcome.
     pub requests: IntCounterVec,
     /// Attempts at upstreams by route kind and outcome.
     pub attempts: IntCounterVec,
-    /// Time to the first piece of an answer, in seconds, by route kind.
+    /// Time to the first piece of a response, in seconds, by route kind.
     pub first_piece: HistogramVec,
     /// Time between two events of a stream, in seconds.
     pub event_gap: HistogramVec,
     /// Calls to the store by call and outcome.
     pub store_calls: IntCounterVec,
-    /// Questions to peers for changes of the store, by outcome.
-    pub news: IntCounterVec,
+    /// Requests to peers for store updates, by outcome.
+    pub feed_requests: IntCounterVec,
     /// Orders to upstreams by order and outcome.
     pub orders: IntCounterVec,
-    /// Upstreams that ended while requests from here ran there, by the evidence.
+    /// Crashes of upstreams that were running requests from this VM, by evidence.
     pub upstream_ends: IntCounterVec,
-    /// Permits asked for to send to upstreams that advertise a limit, by what came of it.
+    /// Requests for permits to send to upstreams that advertise a limit, by outcome.
     pub permits: IntCounterVec,
-    /// Numbers of state by name.
+    /// Gauges of the process's state, by name.
     pub state: IntGaugeVec,
 }
 
@@ -41,7 +41,7 @@
 }
 
 impl GatewayMetrics {
-    /// All metrics at zero.
+    /// Creates and registers all metrics with a value of zero.
     pub fn new() -> Self {
         let registry = Registry::new();
         let counter = |name: &str, help: &str, labels: &[&str]| {
@@ -86,7 +86,7 @@
                 "Calls to the store by call and outcome",
                 &["call", "outcome"],
             ),
-            news: counter(
+            feed_requests: counter(
                 "bergamot_news_total",
                 "Questions to peers for changes of the store, by outcome",
                 &["outcome"],
@@ -111,7 +111,7 @@
         }
     }
 
-    /// The text form of all metrics.
+    /// Renders all metrics in the text format.
     pub fn render(&self) -> String {
         let mut text = Vec::new();
         let encoder = TextEncoder::new();
@@ -121,7 +121,7 @@
         String::from_utf8_lossy(&text).into_owned()
     }
 
-    /// Sets one of the numbers of state.
+    /// Sets the state gauge called `name`.
     pub fn set_state(&self, name: &str, value: i64) {
         self.state.with_label_values(&[name]).set(value);
     }
--- a/crates/gateway/src/signals.rs
+++ b/crates/gateway/src/signals.rs
@@ -1,17 +1,17 @@
-//! Signals, before and while the daemon runs.
+//! Signal handling before and while the daemon runs.
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// What a signal asks of the process.
+/// What a signal requests of the process.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ProcessSignal {
-    /// To stop.
+    /// Stop serving and exit.
     Stop,
-    /// To read its settings again.
+    /// Read the settings again.
     Reload,
 }
 
-/// The signals that a running process takes.
+/// Receivers of the signals that a running process handles.
 pub struct SignalSet {
     terminate: Signal,
     interrupt: Signal,
@@ -19,11 +19,11 @@
 }
 
 impl SignalSet {
-    /// Takes the signals over.
+    /// Installs handlers for all signals.
     ///
     /// # Errors
-    /// When one cannot be taken over.
-    pub fn take() -> std::io::Result<Self> {
+    /// If a handler cannot be installed.
+    pub fn install() -> std::io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
             interrupt: signal(SignalKind::interrupt())?,
@@ -31,7 +31,7 @@
         })
     }
 
-    /// The next signal.
+    /// Waits for the next signal.
     pub async fn next(&mut self) -> ProcessSignal {
         tokio::select! {
             _ = self.terminate.recv() => ProcessSignal::Stop,
@@ -41,16 +41,17 @@
     }
 }
 
-/// Takes over hang-up signals, which end a process that does not. One that comes while the process
-/// starts changes nothing then: the settings are about to be read anyway, and looked at again soon.
+/// Installs a handler for `SIGHUP`, which otherwise ends the process. A signal that arrives while
+/// the process starts has no effect: the settings are about to be read anyway, and are read again
+/// soon.
 ///
 /// # Errors
-/// When the signal cannot be taken over.
+/// If the handler cannot be installed.
 pub fn install_reload_handler() -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_io()
         .build()?;
     let _entered = runtime.enter();
-    // What was taken over stays so after the receiver and the runtime are gone.
+    // The handler stays installed after the receiver and the runtime are dropped.
     signal(SignalKind::hangup()).map(drop)
 }
--- a/crates/gateway/src/sync/ask.rs
+++ b/crates/gateway/src/sync/ask.rs
@@ -1,4 +1,4 @@
-//! Asks peers for changes of the store.
+//! Client of the update feed: requests store updates from peers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,50 +7,50 @@
 use indexmap::IndexMap;
 use tokio::net::TcpStream;
 
-/// Time for an answer, connection included. Peers of one failure domain answer in a millisecond or
-/// two; one whose share of the processor is used up, within a tenth of a second.
-const ASK_TIMEOUT: Duration = Duration::from_millis(250);
-/// The same where a configuration is part of the answer: half a megabyte takes 200 ms at 20 Mbit/s,
-/// at either end.
-const CONFIG_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Timeout of a request, including the connection. Peers of the same failure domain respond within
+/// one or two milliseconds, or within a tenth of a second if their CPU quota is used up.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
+/// Timeout of a request whose response contains a configuration. Half a megabyte takes 200 ms at
+/// 20 Mbit/s, on either VM's link.
+const CONFIG_REQUEST_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// A client of peers' news, with a connection kept to each.
+/// Client of peers' update feeds that reuses one connection to each peer.
 #[derive(Debug, Default)]
-pub(crate) struct NewsCaller {
-    kept: IndexMap<SocketAddr, TcpStream>,
+pub(crate) struct FeedClient {
+    idle_connections: IndexMap<SocketAddr, TcpStream>,
 }
 
-impl NewsCaller {
-    /// Asks a peer. A connection that failed is not used again.
+impl FeedClient {
+    /// Requests updates from a peer. A connection that failed is not used again.
     ///
     /// # Errors
-    /// When there is no whole answer in time.
-    pub(crate) async fn ask(
+    /// If no complete response arrives in time.
+    pub(crate) async fn request_updates(
         &mut self,
         addr: SocketAddr,
-        question: NewsQuestion,
+        request: NewsQuestion,
     ) -> Result<NewsAnswer, frame::Error> {
-        let time = match question.lacks_config_after {
-            Some(_) => CONFIG_TIMEOUT,
-            None => ASK_TIMEOUT,
+        let timeout = match request.lacks_config_after {
+            Some(_) => CONFIG_REQUEST_TIMEOUT,
+            None => REQUEST_TIMEOUT,
         };
-        let kept = self.kept.swap_remove(&addr);
-        let asked = exchange(addr, kept, question);
-        let Ok(asked) = tokio::time::timeout(time, asked).await else {
+        let idle_connection = self.idle_connections.swap_remove(&addr);
+        let result = exchange(addr, idle_connection, request);
+        let Ok(result) = tokio::time::timeout(timeout, result).await else {
             return Err(frame::Error::Io(std::io::ErrorKind::TimedOut.into()));
         };
-        let (stream, answer) = asked?;
-        self.kept.insert(addr, stream);
-        Ok(answer)
+        let (stream, response) = result?;
+        self.idle_connections.insert(addr, stream);
+        Ok(response)
     }
 }
 
 async fn exchange(
     addr: SocketAddr,
-    kept: Option<TcpStream>,
-    question: NewsQuestion,
+    idle_connection: Option<TcpStream>,
+    request: NewsQuestion,
 ) -> Result<(TcpStream, NewsAnswer), frame::Error> {
-    let mut stream = match kept {
+    let mut stream = match idle_connection {
         Some(stream) => stream,
         None => {
             let stream = TcpStream::connect(addr).await?;
@@ -58,7 +58,7 @@
             stream
         }
     };
-    frame::write_frame(&mut stream, &question).await?;
-    let answer = frame::read_frame(&mut stream).await?;
-    Ok((stream, answer))
+    frame::write_frame(&mut stream, &request).await?;
+    let response = frame::read_frame(&mut stream).await?;
+    Ok((stream, response))
 }
--- a/crates/gateway/src/sync/board.rs
+++ b/crates/gateway/src/sync/board.rs
@@ -1,51 +1,53 @@
-//! What this VM can tell its peers about the store.
+//! Store updates that this VM serves to its peers.
 
 use bergamot_feed::{Freshness, UpdateTable};
 use bergamot_peer::{NewsAnswer, NewsQuestion, StoreNews};
 use bergamot_ports::StoreItem;
 use bergamot_types::prelude::*;
 
-/// Changes to pass on, and how recent they are.
+/// Store updates to serve, and their age.
 #[derive(Debug, Default)]
-pub(crate) struct NewsBoard {
-    /// The changes; none before the store was read.
+pub(crate) struct FeedState {
+    /// The updates. `None` until the store has been read.
     pub(crate) table: Option<UpdateTable>,
-    /// How recent what is known is.
+    /// How recent the known state of the store is.
     pub(crate) freshness: Freshness,
-    /// The configuration as it stands in the store; none before the first.
+    /// The configuration as stored. `None` until one has been read.
     pub(crate) config: Option<StoreItem>,
-    /// Whether the changes come from a peer.
+    /// Whether the updates were received from a peer.
     pub(crate) is_relayed: bool,
     /// When the store last came back from an outage.
     pub(crate) returned_at: Option<Millis>,
 }
 
-impl NewsBoard {
-    /// Answers a peer at `now`, when the configuration was confirmed `config_age` ago.
-    pub(crate) fn answer(
+impl FeedState {
+    /// Returns the response to a peer's request at `now`. The configuration was confirmed
+    /// `config_age` ago.
+    pub(crate) fn respond(
         &self,
-        question: &NewsQuestion,
+        request: &NewsQuestion,
         now: Millis,
         config_age: Millis,
     ) -> NewsAnswer {
         let Some(table) = &self.table else {
             return NewsAnswer::NotReady;
         };
-        let Some(slice) = table.changes_since(question.after, question.unaffected_until) else {
+        let Some(batch) = table.changes_since(request.after, request.unaffected_until) else {
             return NewsAnswer::Forgotten;
         };
         let config = self.config.as_ref();
-        let lacked = question.lacks_config_after;
-        let lacked = config.filter(|config| lacked.is_some_and(|after| after < config.revision));
+        let missing_config = request.lacks_config_after;
+        let missing_config =
+            config.filter(|config| missing_config.is_some_and(|after| after < config.revision));
         NewsAnswer::Changes(StoreNews {
-            changes: slice.changes,
-            revision: slice.revision,
-            has_more: slice.has_more,
+            changes: batch.changes,
+            revision: batch.revision,
+            has_more: batch.has_more,
             reached: table.complete_revision(),
             is_relayed: self.is_relayed,
             age: self.freshness.age(now),
             config_revision: config.map_or(0, |config| config.revision),
-            config: lacked.cloned(),
+            config: missing_config.cloned(),
             config_age,
             since_return: self.returned_at.map(|at| now.since(at)),
         })
--- a/crates/gateway/src/sync/mod.rs
+++ b/crates/gateway/src/sync/mod.rs
@@ -1,8 +1,9 @@
-//! The store's duty: reads configuration and directory, follows their changes, and confirms again
-//! and again that no newer configuration was missed.
+//! The store thread: reads configuration and directory, follows their changes, and periodically
+//! confirms that no newer configuration was missed.
 //!
-//! One VM of each failure domain reads and follows the store itself, and the coordinator of the groups;
-//! the others ask that VM, and turn to the store when it has nothing fresh to tell.
+//! One VM of each failure domain and the coordinator of the groups read and follow the store
+//! themselves. The other VMs poll the update feed of their domain's reader, and use the store if
+//! that feed is not fresh.
 
 mod ask;
 mod board;
@@ -29,72 +30,74 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use self::ask::NewsCaller;
-use self::board::NewsBoard;
-use self::own::keep_own_key;
-use self::peers::{ASK_PERIOD, NewsError};
-use self::quarantine::{keep_records, take_news};
-use self::serve::serve_news;
+use self::ask::FeedClient;
+use self::board::FeedState;
+use self::own::maintain_own_key;
+use self::peers::{FeedError, POLL_PERIOD};
+use self::quarantine::{apply_crash_record_changes, write_records};
+use self::serve::serve_updates;
 use crate::known::KnownState;
 use crate::shared::SharedState;
 use crate::view::{ClusterView, build_pools};
 
-/// Time between two confirmations at a VM that follows the store. They also show that its watch has
-/// not gone silent, and its peers count on news that is not much older.
+/// Period of confirmations at a VM that follows the store. They also show that its watch has not
+/// stalled, and its peers rely on updates that are not much older.
 const CONFIRM_PERIOD: Duration = Duration::from_millis(800);
-/// Time between two tries while the store is away, at the VM whose peers learn from it.
+/// Period of retries while the store is unreachable, at a VM that serves its updates to peers.
 const RETRY_PERIOD: Duration = Duration::from_millis(300);
-/// The same at those peers, who ask that VM four times a second meanwhile. With the time of a call that
-/// is in vain it stays below the three seconds after which a VM whose link is back must be up to date.
-const FOLLOWER_RETRY: Duration = Duration::from_millis(1_200);
-/// The same while a peer answers that it has nothing fresh either: the one that reads the store finds out sooner
-/// and tells. Each call counts also while it is in vain, 1,600 in an outage of 8 s with 195 VMs.
-const TOLD_RETRY: Duration = Duration::from_millis(4_000);
-/// The longest wait of one watch. A silent watch costs one call.
+/// Period of retries at those peers, which also poll that VM four times a second. Together with the
+/// duration of a failed call it stays below the three seconds after which a VM whose link is back
+/// must be up to date.
+const FOLLOWER_RETRY_PERIOD: Duration = Duration::from_millis(1_200);
+/// Period of retries while a peer answers that it has no fresh updates either. The VM that reads
+/// the store finds out sooner and serves its updates. Failed calls also count as load: 1,600 in an
+/// outage of 8 s with 195 VMs.
+const STALE_PEER_RETRY_PERIOD: Duration = Duration::from_millis(4_000);
+/// Longest wait of one watch. A watch without changes costs one call.
 const WATCH_WAIT: Duration = Duration::from_secs(20);
-/// Time between a watch's answer and the next watch, so that changes that come together cost one
-/// call. Small against the seconds in which a change must be in force.
+/// Time between a watch's answer and the next watch, so that a burst of changes costs one call.
+/// Short compared to the seconds within which a change must be in force.
 const WATCH_PAUSE: Duration = Duration::from_millis(400);
-/// The same at the VM that coordinates the groups: a repair waits for each of its steps to show.
-const COORDINATOR_PAUSE: Duration = Duration::from_millis(20);
-/// The largest configuration that is told to peers, in bytes; they read a larger one from the store.
-/// Below one slice of news (64 KiB), so that it comes with other changes; not tuned.
-const MAX_TOLD_CONFIG: usize = 48 << 10;
-/// The largest value that is told to peers as it is, in bytes.
-const fn most_told(is_config: bool) -> usize {
+/// Time between two watches at the coordinator. A repair waits until each of its steps is visible.
+const COORDINATOR_WATCH_PAUSE: Duration = Duration::from_millis(20);
+/// Largest configuration that is served to peers, in bytes. They read a larger one from the store.
+/// Less than one batch of updates (64 KiB), so that it fits in with other changes.
+const MAX_SERVED_CONFIG_BYTES: usize = 48 << 10;
+/// Returns the largest value that is served to peers in full, in bytes.
+const fn max_served_bytes(is_config: bool) -> usize {
     match is_config {
-        true => MAX_TOLD_CONFIG,
+        true => MAX_SERVED_CONFIG_BYTES,
         false => MAX_ENTRY_BYTES,
     }
 }
 
-/// The name of the store among the sources of changes, in the log.
+/// Name of the store in log lines about the source of changes.
 const STORE_NAME: &str = "store";
 
-/// The state of the duty.
-pub struct SyncDuty<Store, Catalog> {
+/// Keeps this VM's view of the store up to date.
+pub struct StoreSync<Store, Catalog> {
     shared: Arc<SharedState>,
     store: Rc<Store>,
     catalog: Catalog,
     known: KnownState,
     confirm_at: Instant,
-    /// Whether the last confirmation that a peer gave reason for failed.
-    has_failed_confirm: bool,
+    /// Whether the last confirmation failed that was triggered by a peer's newer configuration.
+    has_failed_peer_confirm: bool,
     ranking: PeerRanking,
-    caller: NewsCaller,
-    board: Rc<RefCell<NewsBoard>>,
-    /// Peers whose last answer did not count, and why.
-    failures: IndexMap<String, Discriminant<NewsError>>,
-    /// Where the last changes came from.
+    feed_client: FeedClient,
+    feed_state: Rc<RefCell<FeedState>>,
+    /// Peers whose last response was not usable, with the kind of error.
+    peer_failures: IndexMap<String, Discriminant<FeedError>>,
+    /// Name of the source of the last changes: a peer's VM or the store.
     source: String,
 }
 
-impl<Store, Catalog> SyncDuty<Store, Catalog>
+impl<Store, Catalog> StoreSync<Store, Catalog>
 where
     Store: StateStore + 'static,
     Catalog: StoreCatalog,
 {
-    /// A duty that has read nothing yet.
+    /// Creates the state before anything has been read.
     pub fn new(shared: Arc<SharedState>, store: Rc<Store>, catalog: Catalog) -> Self {
         Self {
             shared,
@@ -102,27 +105,27 @@
             catalog,
             known: KnownState::default(),
             confirm_at: Instant::now(),
-            has_failed_confirm: false,
+            has_failed_peer_confirm: false,
             ranking: PeerRanking::default(),
-            caller: NewsCaller::default(),
-            board: Rc::default(),
-            failures: IndexMap::new(),
+            feed_client: FeedClient::default(),
+            feed_state: Rc::default(),
+            peer_failures: IndexMap::new(),
             source: STORE_NAME.to_owned(),
         }
     }
 
-    /// Runs for as long as the process does, answers peers on `listener` and writes `records`.
+    /// Runs until the process ends. Serves peers on `listener` and writes `records` to the store.
     pub async fn run(
         mut self,
         listener: std::net::TcpListener,
         records: mpsc::Receiver<QuarantineRecord>,
     ) {
-        let (shared, board) = (Arc::clone(&self.shared), Rc::clone(&self.board));
-        tokio::task::spawn_local(serve_news(shared, board, listener));
+        let (shared, feed_state) = (Arc::clone(&self.shared), Rc::clone(&self.feed_state));
+        tokio::task::spawn_local(serve_updates(shared, feed_state, listener));
         let (shared, store) = (Arc::clone(&self.shared), Rc::clone(&self.store));
-        tokio::task::spawn_local(keep_own_key(shared, store));
+        tokio::task::spawn_local(maintain_own_key(shared, store));
         let (shared, store) = (Arc::clone(&self.shared), Rc::clone(&self.store));
-        tokio::task::spawn_local(keep_records(shared, store, records));
+        tokio::task::spawn_local(write_records(shared, store, records));
         loop {
             while !self.read_all().await {
                 tokio::time::sleep(RETRY_PERIOD).await;
@@ -134,22 +137,22 @@
         }
     }
 
-    /// Learns the next changes, from peers if they know of them.
+    /// Obtains the next changes, from peers if their feeds are usable.
     async fn follow(&mut self) {
         let is_coordinator = self.is_coordinator();
         let now = self.shared.clock.now();
-        let source = self.ranking.source(self.known.is_away, now);
+        let source = self.ranking.source(self.known.is_store_unreachable, now);
         if let UpdateSource::Peers(peers) = source
             && !is_coordinator
-            && self.ask_peers(&peers).await
+            && self.poll_peers(&peers).await
         {
-            if self.known.expire_lapsed(self.shared.clock.now()) {
+            if self.known.remove_expired(self.shared.clock.now()) {
                 self.publish();
             }
-            tokio::time::sleep(ASK_PERIOD).await;
+            tokio::time::sleep(POLL_PERIOD).await;
             return;
         }
-        self.note_source(STORE_NAME);
+        self.set_source(STORE_NAME);
         if let Some(revision) = self.known.revision {
             self.follow_store(revision).await;
         }
@@ -160,59 +163,62 @@
         coordinator.is_some_and(|record| record.vm == self.shared.site.vm.as_str())
     }
 
-    fn note_source(&mut self, source: &str) {
+    fn set_source(&mut self, source: &str) {
         if self.source != source {
             log::info!("event=news_source source={source} before={}", self.source);
             source.clone_into(&mut self.source);
-            self.board.borrow_mut().is_relayed = source != STORE_NAME;
+            self.feed_state.borrow_mut().is_relayed = source != STORE_NAME;
         }
     }
 
-    /// Follows the store for the length of one watch from `revision`. While it is away, one short
-    /// call shows whether it is back.
+    /// Follows the store for one watch from `revision`. While the store is unreachable, first makes
+    /// one short call to see whether it is back.
     async fn follow_store(&mut self, revision: u64) {
-        if self.known.is_away && !self.is_back().await {
+        if self.known.is_store_unreachable && !self.is_store_back().await {
             return;
         }
         let store = Rc::clone(&self.store);
-        let began = self.shared.clock.now();
+        let started_at = self.shared.clock.now();
         let watch = async move { store.watch("", revision, WATCH_WAIT).await };
         tokio::pin!(watch);
         let outcome = loop {
-            let lapse_at = self
+            let removal_at = self
                 .known
-                .until_lapse(self.shared.clock.now())
+                .time_until_removal(self.shared.clock.now())
                 .map(|wait| Instant::now() + wait);
-            let wake_at = lapse_at.map_or(self.confirm_at, |at| at.min(self.confirm_at));
+            let wake_at = removal_at.map_or(self.confirm_at, |at| at.min(self.confirm_at));
             tokio::select! {
                 biased;
                 () = tokio::time::sleep_until(wake_at) => {}
                 outcome = &mut watch => break outcome,
             }
             let now = self.shared.clock.now();
-            if self.known.expire_lapsed(now) {
+            if self.known.remove_expired(now) {
                 self.publish();
             }
             if Instant::now() < self.confirm_at {
                 continue;
             }
             if let Err(error) = self.confirm().await {
-                // The watch hangs on a connection that the same outage cut.
-                self.note_failure("confirm", &error);
+                // The watch's connection is affected by the same outage.
+                self.record_failure("confirm", &error);
                 return;
             }
         };
-        self.count("watch", outcome.as_ref().err());
+        self.count_store_call("watch", outcome.as_ref().err());
         match outcome {
             Ok(WatchOutcome::Changes { events, revision }) => {
-                self.note_success();
+                self.record_success();
                 let has_changes = !events.is_empty();
                 for event in events {
                     let now = self.shared.clock.now();
-                    self.note_change(event, now);
+                    self.apply_change(event, now);
                 }
-                self.reach(revision);
-                self.board.borrow_mut().freshness.mark_current(began);
+                self.advance_revision(revision);
+                self.feed_state
+                    .borrow_mut()
+                    .freshness
+                    .mark_current(started_at);
                 if has_changes {
                     self.publish();
                 }
@@ -222,30 +228,30 @@
                 log::info!("event=store_history_gone revision={revision}");
                 self.known.revision = None;
             }
-            Err(error) => self.note_failure("watch", &error),
+            Err(error) => self.record_failure("watch", &error),
         }
     }
 
-    /// Tries whether the store is back, if it is time.
-    async fn is_back(&mut self) -> bool {
+    /// Checks whether the store is back, once the next confirmation is due.
+    async fn is_store_back(&mut self) -> bool {
         let now = Instant::now();
         if now < self.confirm_at {
-            let pause = ASK_PERIOD.min(self.confirm_at - now);
+            let pause = POLL_PERIOD.min(self.confirm_at - now);
             tokio::time::sleep(pause).await;
             return false;
         }
         let Err(error) = self.confirm().await else {
             return true;
         };
-        self.note_failure("confirm", &error);
+        self.record_failure("confirm", &error);
         false
     }
 
-    /// Takes a change over, and keeps it for peers.
-    fn note_change(&mut self, change: StoreEvent, now: Millis) {
+    /// Applies a change and stores it for peers.
+    fn apply_change(&mut self, change: StoreEvent, now: Millis) {
         let is_config = change.key() == self.catalog.config_key();
-        if let Some(table) = &mut self.board.borrow_mut().table {
-            match change.value_len() <= most_told(is_config) {
+        if let Some(table) = &mut self.feed_state.borrow_mut().table {
+            match change.value_len() <= max_served_bytes(is_config) {
                 true => table.record(&change),
                 false if is_config => table.remove(change.key()),
                 false => table.record(&change.clone().without_value()),
@@ -254,20 +260,20 @@
         self.known.apply_event(&self.catalog, change, now);
     }
 
-    /// Notes that everything up to `revision` is known.
-    fn reach(&mut self, revision: u64) {
+    /// Records that all changes up to `revision` are known.
+    fn advance_revision(&mut self, revision: u64) {
         let known = self.known.revision.unwrap_or(0).max(revision);
         self.known.revision = Some(known);
-        let mut board = self.board.borrow_mut();
-        if let Some(table) = &mut board.table {
+        let mut feed_state = self.feed_state.borrow_mut();
+        if let Some(table) = &mut feed_state.table {
             table.mark_complete(known);
         }
-        board.freshness.observe_known(known);
+        feed_state.freshness.observe_known(known);
     }
 
-    /// Shows that the configuration that is known is still the newest, or takes over a newer one.
+    /// Confirms that the known configuration is the newest, or applies a newer one.
     async fn confirm(&mut self) -> Result<(), StoreError> {
-        let began = self.shared.clock.now();
+        let started_at = self.shared.clock.now();
         let txn = StoreTxn {
             conditions: vec![KeyCondition {
                 key: self.catalog.config_key().to_owned(),
@@ -276,10 +282,10 @@
             ..StoreTxn::default()
         };
         let outcome = self.store.commit(&txn).await;
-        self.count("confirm", outcome.as_ref().err());
+        self.count_store_call("confirm", outcome.as_ref().err());
         let outcome = outcome?;
         self.confirm_at = Instant::now() + CONFIRM_PERIOD;
-        self.note_success();
+        self.record_success();
         match outcome {
             TxnOutcome::Conflict(items) => {
                 for item in &items {
@@ -287,45 +293,47 @@
                 }
                 self.publish();
             }
-            // A transaction that writes nothing answers with the store's revision.
+            // A transaction without writes returns the store's current revision.
             TxnOutcome::Done(revision) => {
                 let known = self.known.revision.unwrap_or(0);
-                let mut board = self.board.borrow_mut();
-                board.freshness.observe_store(revision, known, began);
+                let mut feed_state = self.feed_state.borrow_mut();
+                feed_state
+                    .freshness
+                    .observe_store(revision, known, started_at);
             }
             TxnOutcome::LeaseGone => {}
         }
         if self.known.config.is_some() {
-            self.shared.record_confirmation(began);
+            self.shared.record_confirmation(started_at);
         }
         Ok(())
     }
 
     fn watch_pause(&self) -> Duration {
         match self.is_coordinator() {
-            true => COORDINATOR_PAUSE,
+            true => COORDINATOR_WATCH_PAUSE,
             false => WATCH_PAUSE,
         }
     }
 
-    fn note_failure(&mut self, call: &str, error: &StoreError) {
-        if !self.known.is_away {
+    fn record_failure(&mut self, call: &str, error: &StoreError) {
+        if !self.known.is_store_unreachable {
             log::warn!("event=store_lost call={call} reason={error:?}");
         }
-        self.known.is_away = true;
+        self.known.is_store_unreachable = true;
         self.shared.set_store_unreachable(true);
         let are_peers_stale = self.shared.are_peers_stale(self.shared.clock.now());
         let pause = match self.ranking.is_store_reader() {
             true => RETRY_PERIOD,
-            false if are_peers_stale => TOLD_RETRY,
-            false => FOLLOWER_RETRY,
+            false if are_peers_stale => STALE_PEER_RETRY_PERIOD,
+            false => FOLLOWER_RETRY_PERIOD,
         };
         self.confirm_at = Instant::now() + pause;
         self.store.reset();
     }
 
-    fn note_success(&mut self) {
-        if !self.known.is_away {
+    fn record_success(&mut self) {
+        if !self.known.is_store_unreachable {
             return;
         }
         let now = self.shared.clock.now();
@@ -333,27 +341,27 @@
             "event=store_regained config_age={}",
             self.shared.config_age(now)
         );
-        self.known.is_away = false;
+        self.known.is_store_unreachable = false;
         self.shared.set_store_unreachable(false);
-        self.known.returned_at = Some(now);
+        self.known.store_returned_at = Some(now);
     }
 
-    fn count(&self, call: &str, error: Option<&StoreError>) {
+    fn count_store_call(&self, call: &str, error: Option<&StoreError>) {
         count_call(&self.shared, call, error);
     }
 
     fn publish(&mut self) {
         self.rank_peers();
         self.known.log_unlisted();
-        take_news(&self.shared, &self.known.take_crash_news());
+        apply_crash_record_changes(&self.shared, &self.known.take_crash_record_changes());
         let known = &self.known;
-        let mut board = self.board.borrow_mut();
-        let told = board.config.as_ref().map(|item| item.revision);
-        if told != known.config_item.as_ref().map(|item| item.revision) {
-            board.config.clone_from(&known.config_item);
+        let mut feed_state = self.feed_state.borrow_mut();
+        let served_revision = feed_state.config.as_ref().map(|item| item.revision);
+        if served_revision != known.config_item.as_ref().map(|item| item.revision) {
+            feed_state.config.clone_from(&known.config_item);
         }
-        board.returned_at = known.returned_at;
-        drop(board);
+        feed_state.returned_at = known.store_returned_at;
+        drop(feed_state);
         let pools = known
             .config
             .as_ref()
@@ -371,7 +379,7 @@
     }
 }
 
-/// Counts a call to the store.
+/// Counts a call to the store in the metrics.
 fn count_call(shared: &SharedState, call: &str, error: Option<&StoreError>) {
     let outcome = match error {
         None => "ok",
--- a/crates/gateway/src/sync/own.rs
+++ b/crates/gateway/src/sync/own.rs
@@ -1,4 +1,4 @@
-//! Keeps this VM's own key in the store alive.
+//! Writes this VM's own key to the store and renews its lease.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -12,41 +12,42 @@
 
 /// How long the key of an entry VM outlives its last renewal.
 const ENTRY_TTL: Duration = Duration::from_secs(10);
-/// Time between two renewals: two may fail. Every VM renews, so this is a tenth of all calls.
+/// Period of renewals. Two in a row may fail. As every VM renews, renewals are a tenth of all
+/// calls.
 const RENEW_PERIOD: Duration = Duration::from_millis(3_200);
 
-/// Time after which a key that could not be written is tried again.
+/// Time after which a failed write of the key is retried.
 const RETRY_PERIOD: Duration = Duration::from_millis(1_500);
 
-/// A key that was written.
+/// The key as written to the store.
 #[derive(Clone, Copy)]
 struct WrittenKey {
     lease: u64,
-    /// The store's revision with it.
+    /// Revision of the store at the write.
     revision: u64,
 }
 
 impl WrittenKey {
-    /// Whether it has ended although its lease may go on: an earlier write, carried out late, takes its place and ends with a
-    /// lease of its own.
-    fn has_ended(self, shared: &SharedState) -> bool {
+    /// Whether the key was removed although its lease may still be valid. A delayed earlier write
+    /// can overwrite the key, which then is removed with the earlier write's lease.
+    fn was_removed(self, shared: &SharedState) -> bool {
         let view = shared.view.load();
         view.revision >= self.revision && !view.entries.contains_key(shared.site.vm.as_str())
     }
 }
 
 /// Writes the key and renews its lease until the process stops.
-pub(crate) async fn keep_own_key<Store>(shared: Arc<SharedState>, store: Rc<Store>)
+pub(crate) async fn maintain_own_key<Store>(shared: Arc<SharedState>, store: Rc<Store>)
 where
     Store: StateStore,
 {
-    let mut written: Option<WrittenKey> = None;
+    let mut written_key: Option<WrittenKey> = None;
     while !shared.is_stopping() {
-        written = match written {
-            Some(key) if !key.has_ended(&shared) => renew(&shared, store.as_ref(), key).await,
+        written_key = match written_key {
+            Some(key) if !key.was_removed(&shared) => renew(&shared, store.as_ref(), key).await,
             _ => register(&shared, store.as_ref()).await,
         };
-        let pause = match written {
+        let pause = match written_key {
             Some(_) => RENEW_PERIOD,
             None => RETRY_PERIOD,
         };
@@ -54,7 +55,7 @@
     }
 }
 
-/// Renews the lease. None when it has ended.
+/// Renews the lease. Returns `None` if it has expired.
 async fn renew<Store>(shared: &SharedState, store: &Store, key: WrittenKey) -> Option<WrittenKey>
 where
     Store: StateStore,
@@ -64,14 +65,14 @@
     (!matches!(outcome, Ok(false))).then_some(key)
 }
 
-/// Writes the key under a new lease. None when that failed.
+/// Writes the key under a new lease. Returns `None` if that fails.
 async fn register<Store>(shared: &SharedState, store: &Store) -> Option<WrittenKey>
 where
     Store: StateStore,
 {
-    let opened = store.open_lease(ENTRY_TTL).await;
-    count_call(shared, "lease", opened.as_ref().err());
-    let lease = opened.ok()?;
+    let lease_result = store.open_lease(ENTRY_TTL).await;
+    count_call(shared, "lease", lease_result.as_ref().err());
+    let lease = lease_result.ok()?;
     let site = &shared.site;
     let txn = StoreTxn {
         writes: vec![KeyWrite {
--- a/crates/gateway/src/sync/peers.rs
+++ b/crates/gateway/src/sync/peers.rs
@@ -1,4 +1,4 @@
-//! Learns changes of the store from peers.
+//! Obtains store updates from peers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,53 +9,55 @@
 use bergamot_types::prelude::*;
 use tokio::time::Instant;
 
-use super::{CONFIRM_PERIOD, SyncDuty};
+use super::{CONFIRM_PERIOD, StoreSync};
 
-/// Time between two questions. Changes are known here within it and the reader's own pause, a
-/// fraction of the time in which a leaving upstream must get no new work.
-pub(super) const ASK_PERIOD: Duration = Duration::from_millis(250);
+/// Period of requests to a peer. A change is known here after at most this period and the reader's
+/// own pause, a fraction of the time after which a leaving upstream must get no new requests.
+pub(super) const POLL_PERIOD: Duration = Duration::from_millis(250);
 
-/// The oldest news that counts: the time between two confirmations at the reader and its pause. With
-/// the time between two questions it stays below the two seconds in which a leaving upstream must
-/// get no new work.
-const MAX_AGE: Millis = Millis(1_300);
+/// Maximum age of usable updates: the reader's confirmation period and its pause. Together with the
+/// period of requests it stays below the two seconds after which a leaving upstream must get no new
+/// requests.
+const MAX_UPDATE_AGE: Millis = Millis(1_300);
 
-/// Why a peer's answer does not count.
+/// Why a peer's response is not usable.
 #[derive(Debug, thiserror::Error)]
-pub(super) enum NewsError {
+pub(super) enum FeedError {
     #[error("{0}")]
     NoAnswer(#[from] bergamot_peer::Error),
-    #[error("its news is {0} old")]
+    #[error("the peer's updates are {0} old, which exceeds the maximum age")]
     Stale(Millis),
-    #[error("it has its news from another peer")]
+    #[error("the peer relays updates from another peer")]
     Relayed,
-    #[error("it does not know what happened since")]
+    #[error(
+        "the peer no longer has the updates since the requested revision; everything is read again"
+    )]
     Forgotten,
-    #[error("it has not read the store yet")]
+    #[error("the peer has not read the store yet")]
     NotReady,
-    #[error("its address is not known")]
+    #[error("the address of the peer is not known")]
     NoAddress,
 }
 
-impl NewsError {
-    /// Whether the peer answered, and had nothing fresh.
-    const fn is_heard(&self) -> bool {
+impl FeedError {
+    /// Whether the peer responded but has no fresh updates.
+    const fn lacks_fresh_updates(&self) -> bool {
         matches!(self, Self::Stale(_) | Self::NotReady)
     }
 }
 
-/// What one answer brought.
-struct NewsTold {
+/// What one response contained.
+struct BatchSummary {
     has_changes: bool,
     has_more: bool,
 }
 
-impl<Store, Catalog> SyncDuty<Store, Catalog>
+impl<Store, Catalog> StoreSync<Store, Catalog>
 where
     Store: StateStore + 'static,
     Catalog: StoreCatalog,
 {
-    /// Ranks the peers anew, by the entry VMs that are known.
+    /// Ranks the known entry VMs as peers.
     pub(super) fn rank_peers(&mut self) {
         let site = &self.shared.site;
         let own = PeerDescriptor {
@@ -71,50 +73,52 @@
         self.ranking.rank_peers(peers, &own);
     }
 
-    /// Asks these peers, one after another. False when none of them has fresh news. Where one knows
-    /// too little of the past, everything is to be read anew.
-    pub(super) async fn ask_peers(&mut self, peers: &[String]) -> bool {
+    /// Polls peers one after another until one has fresh updates. Returns `false` if none has. If a
+    /// peer lacks the updates since the known revision, schedules a full read.
+    pub(super) async fn poll_peers(&mut self, peers: &[String]) -> bool {
         for vm in peers {
-            let Err(error) = self.ask_peer(vm).await else {
-                self.failures.swap_remove(vm);
-                self.note_source(vm);
+            let Err(error) = self.poll_peer(vm).await else {
+                self.peer_failures.swap_remove(vm);
+                self.set_source(vm);
                 return true;
             };
-            self.note_unusable(vm, &error);
-            if matches!(error, NewsError::Forgotten) {
+            self.record_unusable(vm, &error);
+            if matches!(error, FeedError::Forgotten) {
                 self.known.revision = None;
                 return true;
             }
             let now = self.shared.clock.now();
-            if error.is_heard() {
+            if error.lacks_fresh_updates() {
                 self.shared.record_stale_peer(now);
             }
-            self.ranking.back_off(vm, self.known.is_away, now);
+            self.ranking
+                .back_off(vm, self.known.is_store_unreachable, now);
         }
         false
     }
 
-    /// Logs and counts an answer of a peer that does not count. One line for each change of the reason: while the
-    /// store is away each VM hears the same four times a second.
-    pub(super) fn note_unusable(&mut self, vm: &str, error: &NewsError) {
+    /// Logs and counts an unusable response of a peer. Logs only if the kind of error changed:
+    /// while the store is unreachable, each VM gets the same error four times a second.
+    pub(super) fn record_unusable(&mut self, vm: &str, error: &FeedError) {
         let kind = std::mem::discriminant(error);
-        let before = self.failures.insert(vm.to_owned(), kind);
-        if before != Some(kind) {
+        let previous_kind = self.peer_failures.insert(vm.to_owned(), kind);
+        if previous_kind != Some(kind) {
             log::info!("event=news_not_usable peer={vm} reason=\"{error}\"");
         }
-        self.count_news("failed");
+        self.count_feed_request("failed");
     }
 
-    /// Asks one peer until it has nothing more to tell. What it told counts also when it fails then.
-    async fn ask_peer(&mut self, vm: &str) -> Result<(), NewsError> {
+    /// Polls one peer until it has no more updates. Publishes received updates even if a later
+    /// request fails.
+    async fn poll_peer(&mut self, vm: &str) -> Result<(), FeedError> {
         let entry = self.known.entries.get(vm);
-        let addr = entry.ok_or(NewsError::NoAddress)?.peer_addr;
+        let addr = entry.ok_or(FeedError::NoAddress)?.peer_addr;
         let mut has_changes = false;
         let outcome = loop {
-            match self.ask_once(addr).await {
-                Ok(told) => {
-                    has_changes |= told.has_changes;
-                    if !told.has_more {
+            match self.poll_once(addr).await {
+                Ok(batch) => {
+                    has_changes |= batch.has_changes;
+                    if !batch.has_more {
                         break Ok(());
                     }
                 }
@@ -127,143 +131,153 @@
         outcome
     }
 
-    /// Asks for the next changes.
-    async fn ask_once(&mut self, addr: SocketAddr) -> Result<NewsTold, NewsError> {
-        let asked_at = self.shared.clock.now();
+    /// Requests and applies the next batch of updates.
+    async fn poll_once(&mut self, addr: SocketAddr) -> Result<BatchSummary, FeedError> {
+        let requested_at = self.shared.clock.now();
         let known = self.known.revision.unwrap_or(0);
-        let question = NewsQuestion {
+        let request = NewsQuestion {
             after: known,
             unaffected_until: known,
             lacks_config_after: self
-                .has_failed_confirm
+                .has_failed_peer_confirm
                 .then_some(self.known.config_revision),
         };
-        let news = self.ask(addr, question).await?;
-        let told = NewsTold {
-            has_changes: !news.changes.is_empty() || news.config.is_some(),
-            has_more: news.has_more,
+        let updates = self.request_updates(addr, request).await?;
+        let batch = BatchSummary {
+            has_changes: !updates.changes.is_empty() || updates.config.is_some(),
+            has_more: updates.has_more,
         };
-        self.take_news(news, asked_at, addr).await;
-        Ok(told)
+        self.apply_updates(updates, requested_at, addr).await;
+        Ok(batch)
     }
 
-    /// Asks one question. An answer that does not count is an error.
-    pub(super) async fn ask(
+    /// Sends one request. Returns an error if the response is not usable.
+    pub(super) async fn request_updates(
         &mut self,
         addr: SocketAddr,
-        question: NewsQuestion,
-    ) -> Result<StoreNews, NewsError> {
-        let asked_at = self.shared.clock.now();
-        let news = match self.caller.ask(addr, question).await? {
-            NewsAnswer::Changes(news) => news,
-            NewsAnswer::Forgotten => return Err(NewsError::Forgotten),
-            NewsAnswer::NotReady => return Err(NewsError::NotReady),
+        request: NewsQuestion,
+    ) -> Result<StoreNews, FeedError> {
+        let requested_at = self.shared.clock.now();
+        let updates = match self.feed_client.request_updates(addr, request).await? {
+            NewsAnswer::Changes(updates) => updates,
+            NewsAnswer::Forgotten => return Err(FeedError::Forgotten),
+            NewsAnswer::NotReady => return Err(FeedError::NotReady),
         };
-        // Only a VM that cannot read the store itself makes do with a peer that cannot either: else
-        // some peer that can would stop reading it.
-        if news.is_relayed && !self.known.is_away {
-            return Err(NewsError::Relayed);
+        // Only a VM that cannot reach the store accepts relayed updates. If VMs that can reach it
+        // did, they would stop reading it.
+        if updates.is_relayed && !self.known.is_store_unreachable {
+            return Err(FeedError::Relayed);
         }
-        let age = self.shared.clock.now().since(asked_at) + news.age;
-        if age > MAX_AGE {
-            return Err(NewsError::Stale(age));
+        let age = self.shared.clock.now().since(requested_at) + updates.age;
+        if age > MAX_UPDATE_AGE {
+            return Err(FeedError::Stale(age));
         }
-        self.count_news("answered");
-        Ok(news)
+        self.count_feed_request("answered");
+        Ok(updates)
     }
 
-    pub(super) fn count_news(&self, outcome: &str) {
-        let news = &self.shared.metrics.news;
-        news.with_label_values(&[outcome]).inc();
+    pub(super) fn count_feed_request(&self, outcome: &str) {
+        let feed_requests = &self.shared.metrics.feed_requests;
+        feed_requests.with_label_values(&[outcome]).inc();
     }
 
-    /// Takes over what a peer told when it was asked at `asked_at`. Its ages count from then, which
-    /// makes them too old rather than too young.
-    async fn take_news(&mut self, mut news: StoreNews, asked_at: Millis, addr: SocketAddr) {
-        self.note_success();
-        self.take_return(&news, asked_at);
+    /// Applies the response to a request sent at `requested_at`. Ages in the response are counted
+    /// from then, so that they are overestimated rather than underestimated.
+    async fn apply_updates(
+        &mut self,
+        mut updates: StoreNews,
+        requested_at: Millis,
+        addr: SocketAddr,
+    ) {
+        self.record_success();
+        self.apply_store_return(&updates, requested_at);
         let now = self.shared.clock.now();
-        for change in std::mem::take(&mut news.changes) {
-            self.note_change(change, now);
+        for change in std::mem::take(&mut updates.changes) {
+            self.apply_change(change, now);
         }
-        let fresh_at = Millis(asked_at.0.saturating_sub(news.age.0));
-        let is_whole = !news.has_more;
-        self.reach(news.revision);
-        if is_whole {
-            self.board.borrow_mut().freshness.mark_current(fresh_at);
+        let fresh_at = Millis(requested_at.0.saturating_sub(updates.age.0));
+        let is_complete = !updates.has_more;
+        self.advance_revision(updates.revision);
+        if is_complete {
+            self.feed_state
+                .borrow_mut()
+                .freshness
+                .mark_current(fresh_at);
         }
-        if let Some(item) = &news.config {
+        if let Some(item) = &updates.config {
             self.known.apply_item(&self.catalog, item);
-            self.has_failed_confirm = false;
+            self.has_failed_peer_confirm = false;
         }
-        self.take_confirmation(&news, asked_at, addr).await;
+        self.apply_confirmation(&updates, requested_at, addr).await;
     }
 
-    /// Takes over when the store came back, as a peer saw it.
-    pub(super) fn take_return(&mut self, news: &StoreNews, asked_at: Millis) {
-        if let Some(since) = news.since_return {
-            let returned_at = Millis(asked_at.0.saturating_sub(since.0));
-            self.known.note_return(returned_at);
+    /// Applies the time at which a peer saw the store come back.
+    pub(super) fn apply_store_return(&mut self, updates: &StoreNews, requested_at: Millis) {
+        if let Some(since_return) = updates.since_return {
+            let returned_at = Millis(requested_at.0.saturating_sub(since_return.0));
+            self.known.record_store_return(returned_at);
         }
     }
 
-    /// Takes over the confirmation of the configuration by the peer at `addr`, or reads the one that it has heard of.
-    pub(super) async fn take_confirmation(
+    /// Applies the confirmation of the configuration by the peer at `addr`, or reads the newer
+    /// configuration that the peer knows of.
+    pub(super) async fn apply_confirmation(
         &mut self,
-        news: &StoreNews,
-        asked_at: Millis,
+        updates: &StoreNews,
+        requested_at: Millis,
         addr: SocketAddr,
     ) {
         let known = self.known.config_revision;
-        if news.config_revision > known && !self.read_config_of(addr).await {
+        if updates.config_revision > known && !self.read_config_from(addr).await {
             self.confirm_when_due().await;
         }
-        // A peer that lags behind confirms nothing.
-        if news.config_revision == known && self.known.config.is_some() {
-            let confirmed_at = asked_at.0.saturating_sub(news.config_age.0);
+        // A peer with an older configuration confirms nothing.
+        if updates.config_revision == known && self.known.config.is_some() {
+            let confirmed_at = requested_at.0.saturating_sub(updates.config_age.0);
             self.shared.record_confirmation(Millis(confirmed_at));
         }
     }
 
-    /// Reads the configuration that the peer at `addr` has. False when it did not tell it.
+    /// Reads the configuration from the peer at `addr`. Returns `false` if the peer did not send
+    /// it.
     ///
-    /// Read from the store by each VM, configurations of 1,500 routes cost 2,245 calls on a day (195 VMs; counted from
-    /// the logs).
-    async fn read_config_of(&mut self, addr: SocketAddr) -> bool {
-        let asked_at = self.shared.clock.now();
+    /// If each of 195 VMs read configurations of 1,500 routes from the store, that would cost 2,245
+    /// calls a day.
+    async fn read_config_from(&mut self, addr: SocketAddr) -> bool {
+        let requested_at = self.shared.clock.now();
         let known = self.known.revision.unwrap_or(0);
-        let question = NewsQuestion {
+        let request = NewsQuestion {
             after: known,
             unaffected_until: known,
             lacks_config_after: Some(self.known.config_revision),
         };
-        let news = match self.ask(addr, question).await {
-            Ok(news) => news,
+        let updates = match self.request_updates(addr, request).await {
+            Ok(updates) => updates,
             Err(error) => {
                 log::info!("event=news_not_usable peer={addr} reason=\"{error}\"");
                 return false;
             }
         };
-        let Some(item) = &news.config else {
+        let Some(item) = &updates.config else {
             return false;
         };
         self.known.apply_item(&self.catalog, item);
-        if self.known.config_revision != news.config_revision {
+        if self.known.config_revision != updates.config_revision {
             return false;
         }
-        let confirmed_at = asked_at.0.saturating_sub(news.config_age.0);
+        let confirmed_at = requested_at.0.saturating_sub(updates.config_age.0);
         self.shared.record_confirmation(Millis(confirmed_at));
         self.publish();
         true
     }
 
-    /// Reads a configuration that a peer has heard of.
+    /// Reads from the store a configuration that a peer knows of, unless a retry is not due yet.
     async fn confirm_when_due(&mut self) {
-        if self.has_failed_confirm && Instant::now() < self.confirm_at {
+        if self.has_failed_peer_confirm && Instant::now() < self.confirm_at {
             return;
         }
         let outcome = self.confirm().await;
-        self.has_failed_confirm = outcome.is_err();
+        self.has_failed_peer_confirm = outcome.is_err();
         if let Err(error) = outcome {
             log::warn!("event=config_not_read reason={error:?}");
             self.store.reset();
--- a/crates/gateway/src/sync/quarantine.rs
+++ b/crates/gateway/src/sync/quarantine.rs
@@ -1,5 +1,5 @@
-//! Records of requests under which upstreams ended: writes those of this VM, takes over those of the others, and keeps
-//! them in order where this VM coordinates.
+//! Records of requests that were running when upstreams crashed. Writes this VM's records, applies
+//! those of other VMs, and cleans up the stored records if this VM is the coordinator.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -11,46 +11,48 @@
 use tokio::sync::mpsc;
 
 use super::count_call;
-use crate::known::CrashNews;
+use crate::known::CrashRecordChange;
 use crate::own_keys::{crash_key, quarantine_key};
 use crate::shared::SharedState;
 
-/// Time in which records are gathered for one call: streams of one upstream break off within it. Small against the
-/// seconds in which the other VMs must know.
-const GATHER_TIME: Duration = Duration::from_millis(30);
-/// Records that one call writes at most: what one transaction of the store holds.
+/// Time for which records are collected for one call. The streams of a crashed upstream break off
+/// within it. Short compared to the seconds within which the other VMs must know.
+const BATCH_DELAY: Duration = Duration::from_millis(30);
+/// Most records written by one call. The limit of a transaction of the store.
 const MAX_WRITES: usize = 32;
-/// Time between two tries while the store does not take them.
+/// Period of retries while the store does not accept the records.
 const RETRY_PERIOD: Duration = Duration::from_millis(500);
-/// Time between two looks at what is too old or too many.
+/// Period of checks for records that are too old or too many.
 const HOUSEKEEPING_PERIOD: Duration = Duration::from_secs(1);
 
-/// Takes over what was heard from the store.
-pub(super) fn take_news(shared: &SharedState, news: &[CrashNews]) {
-    if news.is_empty() {
+/// Applies changes of the stored records.
+pub(super) fn apply_crash_record_changes(shared: &SharedState, changes: &[CrashRecordChange]) {
+    if changes.is_empty() {
         return;
     }
     let now = shared.clock.now();
     let mut quarantine = shared.quarantine.lock();
-    for change in news {
+    for change in changes {
         let event = match change {
-            CrashNews::Written(key, record) => QuarantineEvent::Stored { key, record },
-            CrashNews::Removed(key) => QuarantineEvent::Removed(key),
+            CrashRecordChange::Written(key, record) => QuarantineEvent::Stored { key, record },
+            CrashRecordChange::Removed(key) => QuarantineEvent::Removed(key),
         };
         quarantine.handle(now, event);
     }
-    let known = quarantine.request_count();
-    let held = quarantine.quarantined().len();
+    let suspected_count = quarantine.request_count();
+    let quarantined_count = quarantine.quarantined().len();
     drop(quarantine);
-    shared.metrics.set_state("suspected_requests", known as i64);
     shared
         .metrics
-        .set_state("quarantined_requests", held as i64);
+        .set_state("suspected_requests", suspected_count as i64);
+    shared
+        .metrics
+        .set_state("quarantined_requests", quarantined_count as i64);
 }
 
-/// Writes records until the process ends. One that the store does not take is tried again: the other VMs must learn of
-/// it as soon as the store is back.
-pub(super) async fn keep_records<Store>(
+/// Writes records until the process ends. Retries records that the store does not accept, as the
+/// other VMs must learn of them as soon as the store is back.
+pub(super) async fn write_records<Store>(
     shared: Arc<SharedState>,
     store: Rc<Store>,
     mut records: mpsc::Receiver<QuarantineRecord>,
@@ -60,78 +62,82 @@
     let mut writer = RecordWriter {
         shared,
         store,
-        start: rand::random(),
-        count: 0,
+        process_tag: rand::random(),
+        sequence: 0,
     };
-    let mut looks = tokio::time::interval(HOUSEKEEPING_PERIOD);
-    looks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut housekeeping_ticks = tokio::time::interval(HOUSEKEEPING_PERIOD);
+    housekeeping_ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             record = records.recv() => {
                 let Some(record) = record else {
                     return;
                 };
-                tokio::time::sleep(GATHER_TIME).await;
-                let mut gathered = vec![record];
-                while gathered.len() < MAX_WRITES
+                tokio::time::sleep(BATCH_DELAY).await;
+                let mut batch = vec![record];
+                while batch.len() < MAX_WRITES
                     && let Ok(record) = records.try_recv()
                 {
-                    gathered.push(record);
+                    batch.push(record);
                 }
-                writer.keep(&gathered).await;
+                writer.write_batch(&batch).await;
             }
-            _ = looks.tick() => writer.keep_house().await,
+            _ = housekeeping_ticks.tick() => writer.clean_up().await,
         }
     }
 }
 
-/// Whether the store refuses these records as such: it would at each try, and later ones would wait behind them.
-fn is_unfit(error: &StoreError) -> bool {
-    const OVER_RATE: u16 = 429;
-    matches!(error, StoreError::Refused(status) if (400..500).contains(status) && *status != OVER_RATE)
+/// Whether the store rejects the records themselves. It would reject each retry too, and later
+/// records would be delayed by the retries.
+fn is_permanent_rejection(error: &StoreError) -> bool {
+    const TOO_MANY_REQUESTS: u16 = 429;
+    matches!(error, StoreError::Refused(status) if (400..500).contains(status) && *status != TOO_MANY_REQUESTS)
 }
 
-fn time_of_day() -> UnixMillis {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    UnixMillis(since.map_or(0, |since| since.as_millis() as u64))
+fn unix_time() -> UnixMillis {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    UnixMillis(since_epoch.map_or(0, |since_epoch| since_epoch.as_millis() as u64))
 }
 
 struct RecordWriter<Store> {
     shared: Arc<SharedState>,
     store: Rc<Store>,
-    /// Tells this process's keys from those of the VM's earlier ones.
-    start: u32,
-    count: u64,
+    /// Random number that distinguishes this process's keys from those of the VM's earlier
+    /// processes.
+    process_tag: u32,
+    /// Number of keys that this process used for records it writes once.
+    sequence: u64,
 }
 
 impl<Store> RecordWriter<Store>
 where
     Store: StateStore,
 {
-    /// Writes these records, however long the store takes.
-    async fn keep(&mut self, records: &[QuarantineRecord]) {
-        let writes = records.iter().filter_map(|record| self.write(record));
+    /// Writes records, retrying until the store accepts or permanently rejects them.
+    async fn write_batch(&mut self, records: &[QuarantineRecord]) {
+        let writes = records.iter().filter_map(|record| self.next_write(record));
         let txn = StoreTxn {
             writes: writes.collect(),
             ..StoreTxn::default()
         };
-        // Written twice, a record says the same.
+        // Writing a record twice has no further effect, so a retry after an unknown outcome is
+        // safe.
         while let Err(error) = self.commit(&txn).await {
-            if is_unfit(&error) {
+            if is_permanent_rejection(&error) {
                 return;
             }
             tokio::time::sleep(RETRY_PERIOD).await;
         }
     }
 
-    fn write(&mut self, record: &QuarantineRecord) -> Option<KeyWrite> {
+    fn next_write(&mut self, record: &QuarantineRecord) -> Option<KeyWrite> {
         let key = match record {
             QuarantineRecord::Quarantined { print, .. } => quarantine_key(*print),
             QuarantineRecord::CrashWithoutProgress { .. }
             | QuarantineRecord::Crash { .. }
             | QuarantineRecord::Cleared { .. } => {
-                self.count += 1;
-                crash_key(&self.shared.site.vm, self.start, self.count)
+                self.sequence += 1;
+                crash_key(&self.shared.site.vm, self.process_tag, self.sequence)
             }
         };
         match record.to_bytes() {
@@ -156,18 +162,19 @@
         outcome.map(|_| ())
     }
 
-    /// What is too old goes. In the store, where a quarantine gets a record that outlives the ends that led to it, one VM
-    /// does it for all.
-    async fn keep_house(&mut self) {
+    /// Removes records that are too old. In the store the coordinator does so for all VMs, and also
+    /// writes a record of each quarantine that outlives the records of the crashes that led to it.
+    async fn clean_up(&mut self) {
         let now = self.shared.clock.now();
-        let coordinator_clock = self.shared.is_coordinator().then(time_of_day);
+        let coordinator_clock = self.shared.is_coordinator().then(unix_time);
         let event = QuarantineEvent::Housekeeping { coordinator_clock };
         let actions = self.shared.quarantine.lock().handle(now, event);
         let mut txn = StoreTxn::default();
         for action in actions {
             match action {
                 QuarantineAction::Share(record) => {
-                    // Other VMs only write such a record once more.
+                    // Logged by the coordinator only, as other VMs just write the same record
+                    // again.
                     if let QuarantineRecord::Quarantined {
                         print,
                         incarnations,
@@ -179,7 +186,7 @@
                             "event=request_quarantined print={print} upstreams={incarnations:?}"
                         );
                     }
-                    txn.writes.extend(self.write(&record));
+                    txn.writes.extend(self.next_write(&record));
                 }
                 QuarantineAction::Remove(keys) => txn.removes.extend(keys),
                 QuarantineAction::Probe(_)
@@ -190,7 +197,7 @@
         txn.removes
             .truncate(MAX_WRITES.saturating_sub(txn.writes.len()));
         if !txn.writes.is_empty() || !txn.removes.is_empty() {
-            // What failed is logged, and the next look tries it once more.
+            // A failure is logged, and the next check retries it.
             let _ = self.commit(&txn).await;
         }
     }
--- a/crates/gateway/src/sync/read.rs
+++ b/crates/gateway/src/sync/read.rs
@@ -1,4 +1,5 @@
-//! Reads everything: at the start, and when more was missed than peers remember.
+//! Reads the store's whole contents, at the start and when more updates were missed than peers
+//! store.
 
 use std::time::Duration;
 
@@ -9,64 +10,66 @@
 use indexmap::IndexMap;
 use tokio::time::Instant;
 
-use super::peers::NewsError;
-use super::{STORE_NAME, SyncDuty, most_told};
+use super::peers::FeedError;
+use super::{STORE_NAME, StoreSync, max_served_bytes};
 use crate::own_keys::ENTRY_PREFIX;
 
-/// Time in which peers that have just started may read the store: 3,000 upstreams take one of them
-/// about a second.
-const PEERS_WAIT: Duration = Duration::from_millis(2_000);
-/// Time between two questions to such a peer: short against the second that its read takes; not tuned.
-const PEERS_PAUSE: Duration = Duration::from_millis(100);
+/// How long to wait for peers that have just started to read the store. A peer takes about a second
+/// to read 3,000 upstreams.
+const PEER_READ_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Time between two requests to such a peer. Short compared to the second that its read takes.
+const PEER_POLL_PAUSE: Duration = Duration::from_millis(100);
 
-impl<Store, Catalog> SyncDuty<Store, Catalog>
+impl<Store, Catalog> StoreSync<Store, Catalog>
 where
     Store: StateStore + 'static,
     Catalog: StoreCatalog,
 {
-    /// Reads everything, from peers if one of them is there to read the store for others. False when
-    /// nobody answered.
+    /// Reads everything, from a peer if one reads the store for others, else from the store.
+    /// Returns `false` if neither responded.
     pub(super) async fn read_all(&mut self) -> bool {
-        self.read_peers().await || self.read_store().await
+        self.read_from_peers().await || self.read_from_store().await
     }
 
-    /// Reads everything from a peer. False when this VM is to read the store, or no peer knows it.
-    async fn read_peers(&mut self) -> bool {
+    /// Reads everything from a peer. Returns `false` if this VM is to read the store itself, or no
+    /// peer has its contents.
+    async fn read_from_peers(&mut self) -> bool {
         if self.is_coordinator() {
             return false;
         }
         if self.known.entries.is_empty() && !self.read_entries().await {
             return false;
         }
-        let end = Instant::now() + PEERS_WAIT;
-        while Instant::now() < end {
+        let deadline = Instant::now() + PEER_READ_TIMEOUT;
+        while Instant::now() < deadline {
             let now = self.shared.clock.now();
-            let source = self.ranking.source(self.known.is_away, now);
+            let source = self.ranking.source(self.known.is_store_unreachable, now);
             let UpdateSource::Peers(peers) = source else {
                 return false;
             };
             for vm in &peers {
-                let Err(error) = self.read_peer(vm).await else {
-                    self.note_source(vm);
+                let Err(error) = self.read_from_peer(vm).await else {
+                    self.set_source(vm);
                     return true;
                 };
-                self.note_unread(vm, &error);
+                self.record_failed_read(vm, &error);
             }
-            tokio::time::sleep(PEERS_PAUSE).await;
+            tokio::time::sleep(PEER_POLL_PAUSE).await;
         }
         false
     }
 
-    fn note_unread(&mut self, vm: &str, error: &NewsError) {
-        self.note_unusable(vm, error);
-        if matches!(error, NewsError::NotReady) {
+    fn record_failed_read(&mut self, vm: &str, error: &FeedError) {
+        self.record_unusable(vm, error);
+        if matches!(error, FeedError::NotReady) {
             return;
         }
         let now = self.shared.clock.now();
-        self.ranking.back_off(vm, self.known.is_away, now);
+        self.ranking
+            .back_off(vm, self.known.is_store_unreachable, now);
     }
 
-    /// Reads which entry VMs there are. False when the store did not answer.
+    /// Reads the records of the entry VMs from the store. Returns `false` if the call failed.
     async fn read_entries(&mut self) -> bool {
         let Some(range) = self.range(ENTRY_PREFIX, "range_entries").await else {
             return false;
@@ -78,72 +81,80 @@
         true
     }
 
-    /// Reads everything from this peer, which tells it in parts.
-    async fn read_peer(&mut self, vm: &str) -> Result<(), NewsError> {
+    /// Reads everything from one peer, in batches.
+    async fn read_from_peer(&mut self, vm: &str) -> Result<(), FeedError> {
         let entry = self.known.entries.get(vm);
-        let addr = entry.ok_or(NewsError::NoAddress)?.peer_addr;
+        let addr = entry.ok_or(FeedError::NoAddress)?.peer_addr;
         let mut items: IndexMap<String, StoreItem> = IndexMap::new();
-        // What was removed before the first answer is not among what it tells.
+        // The responses contain no key that was removed before the first of them, so earlier removals
+        // are not needed.
         let mut unaffected_until = u64::MAX;
         let mut after = 0;
         loop {
-            let asked_at = self.shared.clock.now();
-            let question = NewsQuestion {
+            let requested_at = self.shared.clock.now();
+            let request = NewsQuestion {
                 after,
                 unaffected_until,
                 lacks_config_after: None,
             };
-            let mut news = self.ask(addr, question).await?;
-            after = news.revision;
-            unaffected_until = unaffected_until.min(news.reached);
-            for change in std::mem::take(&mut news.changes) {
+            let mut updates = self.request_updates(addr, request).await?;
+            after = updates.revision;
+            unaffected_until = unaffected_until.min(updates.reached);
+            for change in std::mem::take(&mut updates.changes) {
                 match change {
                     StoreEvent::Written(item) => items.insert(item.key.clone(), item),
                     StoreEvent::Removed { key, .. } => items.swap_remove(&key),
                 };
             }
-            if news.has_more {
+            if updates.has_more {
                 continue;
             }
-            self.note_success();
-            self.take_return(&news, asked_at);
-            let fresh_at = Millis(asked_at.0.saturating_sub(news.age.0));
-            self.take_all(items.into_values().collect(), after, fresh_at, vm);
-            self.take_confirmation(&news, asked_at, addr).await;
+            self.record_success();
+            self.apply_store_return(&updates, requested_at);
+            let fresh_at = Millis(requested_at.0.saturating_sub(updates.age.0));
+            self.replace_all(items.into_values().collect(), after, fresh_at, vm);
+            self.apply_confirmation(&updates, requested_at, addr).await;
             self.publish();
             return Ok(());
         }
     }
 
-    /// Reads everything from the store. False when it did not answer.
-    async fn read_store(&mut self) -> bool {
-        let began = self.shared.clock.now();
+    /// Reads everything from the store. Returns `false` if the call failed.
+    async fn read_from_store(&mut self) -> bool {
+        let started_at = self.shared.clock.now();
         let Some(range) = self.range("", "range").await else {
             return false;
         };
-        self.note_success();
-        self.note_source(STORE_NAME);
-        self.take_all(range.items, range.revision, began, STORE_NAME);
+        self.record_success();
+        self.set_source(STORE_NAME);
+        self.replace_all(range.items, range.revision, started_at, STORE_NAME);
         if self.known.config.is_some() {
-            self.shared.record_confirmation(began);
+            self.shared.record_confirmation(started_at);
         }
         self.publish();
         true
     }
 
-    /// Reads the keys with this prefix; `call` names it in log and metrics. None when the store did not
-    /// answer.
+    /// Reads the keys with a prefix. `call` is the name of the call in log and metrics. Returns
+    /// `None` if the call failed.
     async fn range(&mut self, prefix: &str, call: &str) -> Option<StoreRange> {
         let range = self.store.range(prefix).await;
-        self.count(call, range.as_ref().err());
+        self.count_store_call(call, range.as_ref().err());
         if let Err(error) = &range {
-            self.note_failure(call, error);
+            self.record_failure(call, error);
         }
         range.ok()
     }
 
-    /// Takes over everything that was in the store at `revision`, and at `fresh_at`.
-    fn take_all(&mut self, items: Vec<StoreItem>, revision: u64, fresh_at: Millis, source: &str) {
+    /// Replaces the known state by the store's contents at `revision`, which were current at
+    /// `fresh_at`.
+    fn replace_all(
+        &mut self,
+        items: Vec<StoreItem>,
+        revision: u64,
+        fresh_at: Millis,
+        source: &str,
+    ) {
         let now = self.shared.clock.now();
         self.known.entries.clear();
         self.known.holds.clear();
@@ -153,20 +164,20 @@
             listed.extend(self.catalog.upstream_id(&item.key));
             self.known.apply_item(&self.catalog, item);
         }
-        self.known.keep_listed(&listed, now);
+        self.known.retain_listed(&listed, now);
         self.known.revision = Some(revision);
-        let told = items.into_iter().filter_map(|mut item| {
+        let served_items = items.into_iter().filter_map(|mut item| {
             let is_config = item.key == self.catalog.config_key();
-            if item.value.len() <= most_told(is_config) {
+            if item.value.len() <= max_served_bytes(is_config) {
                 return Some(item);
             }
             item.value.clear();
             (!is_config).then_some(item)
         });
-        let mut board = self.board.borrow_mut();
-        board.table = Some(UpdateTable::from_items(told, revision));
-        board.freshness.mark_current(fresh_at);
-        drop(board);
+        let mut feed_state = self.feed_state.borrow_mut();
+        feed_state.table = Some(UpdateTable::from_items(served_items, revision));
+        feed_state.freshness.mark_current(fresh_at);
+        drop(feed_state);
         let config = self.known.config.as_ref();
         log::info!(
             "event=store_read source={source} revision={revision} upstreams={} config={}",
--- a/crates/gateway/src/sync/serve.rs
+++ b/crates/gateway/src/sync/serve.rs
@@ -1,4 +1,4 @@
-//! Answers peers that ask for changes of the store.
+//! Server of the update feed: responds to peers' requests for store updates.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -8,20 +8,20 @@
 use bergamot_peer::{NewsQuestion, frame};
 use tokio::net::{TcpListener, TcpStream};
 
-use super::board::NewsBoard;
+use super::board::FeedState;
 use crate::listen::next_connection;
 use crate::shared::SharedState;
 
-/// Time without a question after which a peer's connection is closed: forty times the time between
-/// two questions of one that lives.
-const IDLE_TIME: Duration = Duration::from_secs(10);
-/// Time for an answer to leave. A peer that takes longer has given it up.
-const WRITE_TIME: Duration = Duration::from_secs(1);
+/// Time without a request after which a peer's connection is closed. 40 times the period of a live
+/// peer's requests.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Timeout for writing a response. A peer that takes longer to receive it has given up the request.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Answers peers for as long as the process lives.
-pub(crate) async fn serve_news(
+/// Serves peers until the process ends.
+pub(crate) async fn serve_updates(
     shared: Arc<SharedState>,
-    board: Rc<RefCell<NewsBoard>>,
+    feed_state: Rc<RefCell<FeedState>>,
     listener: std::net::TcpListener,
 ) {
     let listener = match TcpListener::from_std(listener) {
@@ -33,39 +33,39 @@
     };
     loop {
         let stream = next_connection(&listener).await;
-        let (shared, board) = (Arc::clone(&shared), Rc::clone(&board));
+        let (shared, feed_state) = (Arc::clone(&shared), Rc::clone(&feed_state));
         tokio::task::spawn_local(async move {
-            let reason = answer_peer(&shared, &board, stream).await;
+            let reason = serve_peer(&shared, &feed_state, stream).await;
             log::debug!("event=news_connection_ended reason={reason:?}");
         });
     }
 }
 
-/// Answers one peer until its connection ends; says why it did.
-async fn answer_peer(
+/// Serves one peer until its connection ends. Returns why it ended.
+async fn serve_peer(
     shared: &SharedState,
-    board: &RefCell<NewsBoard>,
+    feed_state: &RefCell<FeedState>,
     mut stream: TcpStream,
 ) -> String {
     if let Err(error) = stream.set_nodelay(true) {
         return error.to_string();
     }
     loop {
-        let question = tokio::time::timeout(IDLE_TIME, frame::read_frame(&mut stream)).await;
-        let question: NewsQuestion = match question {
-            Ok(Ok(question)) => question,
+        let request = tokio::time::timeout(IDLE_TIMEOUT, frame::read_frame(&mut stream)).await;
+        let request: NewsQuestion = match request {
+            Ok(Ok(request)) => request,
             Ok(Err(error)) => return error.to_string(),
             Err(_) => return "idle".to_owned(),
         };
         let now = shared.clock.now();
-        let answer = board
+        let response = feed_state
             .borrow()
-            .answer(&question, now, shared.config_age(now));
-        let written = frame::write_frame(&mut stream, &answer);
-        match tokio::time::timeout(WRITE_TIME, written).await {
+            .respond(&request, now, shared.config_age(now));
+        let write = frame::write_frame(&mut stream, &response);
+        match tokio::time::timeout(WRITE_TIMEOUT, write).await {
             Ok(Ok(())) => {}
             Ok(Err(error)) => return error.to_string(),
-            Err(_) => return "the answer was not taken".to_owned(),
+            Err(_) => return "timed out writing a response; closing the connection".to_owned(),
         }
     }
 }
