--- a/crates/gateway/src/front/admit.rs
+++ b/crates/gateway/src/front/admit.rs
@@ -39,7 +39,7 @@
     let shared = &front.shared;
     let mut changes = shared.view_changed.subscribe();
     let has_config = || shared.view.load().config.is_some();
-    if has_config() || shared.is_store_away() || shared.clock.age() > CONFIG_START_TIMEOUT {
+    if has_config() || shared.is_store_unreachable() || shared.clock.age() > CONFIG_START_TIMEOUT {
         return;
     }
     let config_loaded = async { while !has_config() && changes.changed().await.is_ok() {} };
@@ -88,7 +88,7 @@
     let timeout = call
         .deadline
         .map_or(route.timeout, |time_left| time_left.min(route.timeout));
-    let latest_answer_end = front.stop.answer_end(arrived);
+    let latest_answer_end = front.stop.answer_deadline(arrived);
     if latest_answer_end.is_some_and(|latest| arrived + timeout > latest) {
         // The process could stop before the answer is complete, which would abort it.
         let kind = ErrorKind::ShuttingDown;
