--- a/crates/gateway/src/front/admit.rs
+++ b/crates/gateway/src/front/admit.rs
@@ -74,7 +74,7 @@
     let Some(config) = &view.config else {
         let left = call.deadline.unwrap_or(ASSUMED_DEADLINE);
         let wait = front.outage(arrived).return_delay(left, rand::random());
-        return Err(CallRefusal::later(ErrorKind::NoBundle, wait));
+        return Err(CallRefusal::retry_in(ErrorKind::NoBundle, wait));
     };
     let route = config.route(&call.host, path).ok_or(ErrorKind::NotFound)?;
     let (account, rank) = authorize(config, route, call)?;
@@ -86,7 +86,7 @@
     if answer_end.is_some_and(|end| arrived + timeout > end) {
         // It could be cut before its end.
         let kind = ErrorKind::ShuttingDown;
-        return Err(CallRefusal::later(kind, RETURN_STOPPING));
+        return Err(CallRefusal::retry_in(kind, RETURN_STOPPING));
     }
     Ok(AdmittedCall {
         state: CallState {
@@ -96,9 +96,9 @@
             deadline: arrived + timeout,
             tried: Vec::new(),
             arrivals: 0,
-            run_at: Vec::new(),
-            closed_at: Vec::new(),
-            repeat_taken: None,
+            possible_runs: Vec::new(),
+            disconnected: Vec::new(),
+            retry_taken_at: None,
             trace,
         },
         caller: AdmittedCaller {
--- a/crates/gateway/src/front/attempt.rs
+++ b/crates/gateway/src/front/attempt.rs
@@ -17,7 +17,7 @@
 use super::admit::AdmittedCaller;
 use super::flight::{ConnectGuard, FlightGuard};
 use super::gates::note_gate;
-use super::limits::note_limit;
+use super::limits::record_limit;
 use super::permits::{SendPermit, may_send};
 use super::pool::{ConnectError, UpstreamConnection};
 
@@ -159,13 +159,13 @@
 {
     let sent_at = run.sent_at;
     let flight = FlightGuard::enter(
-        &front.book,
+        &front.monitor,
         &upstream.incarnation,
         request.call.model.as_ref(),
         request.call.prompt_tokens(),
         sent_at,
     );
-    let connecting = ConnectGuard::enter(&front.book, &upstream.incarnation, sent_at);
+    let connecting = ConnectGuard::enter(&front.monitor, &upstream.incarnation, sent_at);
     let connection = front
         .pool
         .connect(&upstream.incarnation, upstream.addr)
@@ -174,13 +174,13 @@
     let connected = front.now().since(sent_at);
     match &connection {
         Ok(_) => front
-            .book
+            .monitor
             .borrow_mut()
             .record_connected(&upstream.incarnation),
         Err(_) => {
             let now = front.now();
             front
-                .book
+                .monitor
                 .borrow_mut()
                 .record_connect_failure(&upstream.incarnation, now);
         }
@@ -223,7 +223,7 @@
     }
     // Another upstream may have answered that another one was meant.
     if !facts.is_misdirected {
-        note_limit(front, upstream, &facts, sent_at + connected);
+        record_limit(front, upstream, &facts, sent_at + connected);
         note_gate(front, &upstream.incarnation, &facts);
     }
     let back_off = facts
--- a/crates/gateway/src/front/breaks.rs
+++ b/crates/gateway/src/front/breaks.rs
@@ -135,7 +135,7 @@
     request: &SentRequest,
     state: &CallState,
 ) {
-    let is_by_one = state.run_at.len() == 1 && request.call.resume_after.is_none();
+    let is_by_one = state.possible_runs.len() == 1 && request.call.resume_after.is_none();
     if is_by_one && !front.shared.quarantine.lock().is_empty() {
         handle(front, QuarantineEvent::Answered(request.print()));
     }
@@ -151,7 +151,7 @@
     let is_listed = entry.is_some_and(|entry| {
         entry.incarnation == *incarnation && entry.state != UpstreamState::Draining
     });
-    is_listed && !front.book.borrow().gates.is_leaving(incarnation)
+    is_listed && !front.monitor.borrow().gates.is_leaving(incarnation)
 }
 
 /// Finds out whether anything listens where a request was broken off. One connection for each end that is
@@ -246,7 +246,7 @@
                 );
             }
             QuarantineAction::Share(record) => {
-                if let Err(error) = front.crash_news.try_send(record.clone()) {
+                if let Err(error) = front.crash_records.try_send(record.clone()) {
                     log::info!("event=notice_not_sent reason=\"{error}\"");
                 }
                 if let Err(error) = front.shared.records.try_send(record) {
--- a/crates/gateway/src/front/call.rs
+++ b/crates/gateway/src/front/call.rs
@@ -41,7 +41,7 @@
         Err(kind) => return refuse(&front, None, kind.into()),
     };
     let id = call.id.clone();
-    trace.note_id(&id);
+    trace.record_id(&id);
     await_config(&front, &call).await;
     let admitted = admit(&front, &call, head.uri.path(), arrived, trace);
     let limit = admitted.as_ref().map_or(0, |admitted| admitted.body_limit);
@@ -185,7 +185,7 @@
     let broken = |reason: String| {
         let now = front.now();
         front
-            .book
+            .monitor
             .borrow_mut()
             .record_failure(&reply.upstream.incarnation, now);
         TryOutcome::Failed(AttemptError::Broken(reason))
@@ -217,17 +217,17 @@
         reply.head.status.as_u16(),
         state.route.objective,
     );
-    front.count(state.route.kind, outcome);
+    front.count_outcome(state.route.kind, outcome);
     let first = &front.shared.metrics.first_piece;
     let first = first.with_label_values(&[state.route.kind.as_str()]);
     first.observe(waited.as_secs_f64());
     match is_failure {
         true => {
-            front.book.borrow_mut().record_failure(id, front.now());
+            front.monitor.borrow_mut().record_failure(id, front.now());
             TryOutcome::OwnFailure(answer)
         }
         false => {
-            front.book.borrow_mut().record_success(id);
+            front.monitor.borrow_mut().record_success(id);
             note_whole(front, request, state);
             TryOutcome::Answered(answer)
         }
--- a/crates/gateway/src/front/exchange.rs
+++ b/crates/gateway/src/front/exchange.rs
@@ -17,8 +17,8 @@
 use tokio::sync::mpsc;
 
 use super::FrontContext;
-use super::limits::act;
-use super::permits::{QuotaNews, settle};
+use super::limits::apply_quota_actions;
+use super::permits::{QuotaMessage, deliver_permit_answer};
 use crate::view::ClusterView;
 
 /// Periods in a row without anything in flight after which peers are told no more.
@@ -38,7 +38,7 @@
     doubts: mpsc::Sender<QuietNotice>,
     mut crash_news: mpsc::Receiver<QuarantineRecord>,
     mut still_news: mpsc::Receiver<LeaderStill>,
-    mut quota_news: mpsc::Receiver<QuotaNews>,
+    mut quota_news: mpsc::Receiver<QuotaMessage>,
 ) {
     let mut periods = tokio::time::interval(LOAD_REPORT_PERIOD.as_duration());
     periods.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -53,7 +53,7 @@
             _ = periods.tick() => to_notices(tick(&front, &mut idle)),
             Some(record) = crash_news.recv() => tell_crash(&front, &record),
             Some(silence) = still_news.recv() => {
-                let hops = front.book.borrow().occupancy.origin_hops(front.now());
+                let hops = front.monitor.borrow().occupancy.origin_hops(front.now());
                 address_silence(&front, hops, silence)
             }
             Some(news) = quota_news.recv() => tell_quota(&front, news),
@@ -62,7 +62,7 @@
                     return;
                 }
                 let view = front.shared.view.load();
-                front.book.borrow_mut().occupancy.set_peers(places(&view));
+                front.monitor.borrow_mut().occupancy.set_peers(places(&view));
                 let vms = places(&view).map(|place| (place.failure_domain, place.vm));
                 front.quota.borrow_mut().set_vms(front.now(), vms);
                 Vec::new()
@@ -86,7 +86,7 @@
 
 fn tick<Dialect>(front: &FrontContext<Dialect>, idle: &mut u32) -> Vec<OccupancyAction> {
     let now = front.now();
-    let mut book = front.book.borrow_mut();
+    let mut book = front.monitor.borrow_mut();
     let in_flight = book.in_flight();
     *idle = match in_flight.is_empty() {
         true => *idle + 1,
@@ -115,7 +115,7 @@
     match frame::decode(&buffer[..length]) {
         Ok(PeerNotice::Load(notice)) => {
             let now = front.now();
-            let mut book = front.book.borrow_mut();
+            let mut book = front.monitor.borrow_mut();
             let event = OccupancyEvent::Received(&notice);
             to_notices(book.occupancy.handle(now, event))
         }
@@ -126,7 +126,7 @@
             answer_quota(front, QuotaEvent::PermitRequested(&question))
         }
         Ok(PeerNotice::PermitAnswer(answer)) => {
-            settle(front, &answer);
+            deliver_permit_answer(front, &answer);
             Vec::new()
         }
         Ok(PeerNotice::Quiet(notice)) => {
@@ -156,7 +156,7 @@
     front: &FrontContext<Dialect>,
     record: &QuarantineRecord,
 ) -> Vec<AddressedNotice> {
-    let hops = front.book.borrow().occupancy.origin_hops(front.now());
+    let hops = front.monitor.borrow().occupancy.origin_hops(front.now());
     address(front, hops, record)
 }
 
@@ -169,7 +169,7 @@
     let mut quarantine = front.shared.quarantine.lock();
     quarantine.handle(now, QuarantineEvent::Reported(&notice.record));
     drop(quarantine);
-    let book = front.book.borrow();
+    let book = front.monitor.borrow();
     let hops = book.occupancy.forward_hops(&notice.vm, notice.scope);
     address(front, hops, &notice.record)
 }
@@ -183,7 +183,7 @@
     if !silence.is_stalled {
         return Vec::new();
     }
-    let mut book = front.book.borrow_mut();
+    let mut book = front.monitor.borrow_mut();
     let told = StallNotice {
         leader: silence.leader,
         witness: silence.witness,
@@ -196,13 +196,13 @@
 }
 
 /// What this VM tells or asks about limits.
-fn tell_quota<Dialect>(front: &FrontContext<Dialect>, news: QuotaNews) -> Vec<AddressedNotice> {
+fn tell_quota<Dialect>(front: &FrontContext<Dialect>, news: QuotaMessage) -> Vec<AddressedNotice> {
     match news {
-        QuotaNews::Report(report) => {
-            let hops = front.book.borrow().occupancy.origin_hops(front.now());
+        QuotaMessage::Report(report) => {
+            let hops = front.monitor.borrow().occupancy.origin_hops(front.now());
             address_limit(front, hops, &report)
         }
-        QuotaNews::Question { vm, question } => {
+        QuotaMessage::Question { vm, question } => {
             let notice = PeerNotice::PermitQuestion(question);
             vec![AddressedNotice { vm, notice }]
         }
@@ -216,9 +216,9 @@
 ) -> Vec<AddressedNotice> {
     let event = QuotaEvent::Reported(&notice.report);
     let actions = front.quota.borrow_mut().handle(front.now(), event);
-    act(front, actions);
+    apply_quota_actions(front, actions);
     let hops = {
-        let book = front.book.borrow();
+        let book = front.monitor.borrow();
         book.occupancy.forward_hops(&notice.vm, notice.scope)
     };
     address_limit(front, hops, &notice.report)
@@ -230,7 +230,7 @@
     event: QuotaEvent<'_>,
 ) -> Vec<AddressedNotice> {
     let actions = front.quota.borrow_mut().handle(front.now(), event);
-    let answers = act(front, actions).into_iter();
+    let answers = apply_quota_actions(front, actions).into_iter();
     let notices = answers.filter_map(|action| match action {
         QuotaAction::Answer { vm, answer } => Some(AddressedNotice {
             vm,
--- a/crates/gateway/src/front/gates.rs
+++ b/crates/gateway/src/front/gates.rs
@@ -25,7 +25,12 @@
 
 fn note_leaving<Dialect>(front: &FrontContext<Dialect>, incarnation: &UpstreamIncarnation) {
     let now = front.now();
-    if front.book.borrow_mut().gates.mark_leaving(incarnation, now) {
+    if front
+        .monitor
+        .borrow_mut()
+        .gates
+        .mark_leaving(incarnation, now)
+    {
         log::info!("event=upstream_leaves upstream={incarnation}");
         // What is cut at its end is cut by the end of a planned stop.
         handle(front, QuarantineEvent::Leaving(incarnation));
@@ -42,7 +47,7 @@
     }
     let now = front.now();
     let is_new = front
-        .book
+        .monitor
         .borrow_mut()
         .gates
         .back_off(incarnation, now + time, now);
@@ -54,7 +59,7 @@
 
 /// Shows from how many upstreams this VM backs off now.
 pub fn show_backing_off<Dialect>(front: &FrontContext<Dialect>) {
-    let resting = front.book.borrow().gates.backing_off_count(front.now());
+    let resting = front.monitor.borrow().gates.backing_off_count(front.now());
     let metrics = &front.shared.metrics;
     metrics.set_state("backing_off_upstreams", resting as i64);
 }
--- a/crates/gateway/src/front/limits.rs
+++ b/crates/gateway/src/front/limits.rs
@@ -6,10 +6,10 @@
 use bergamot_types::prelude::*;
 
 use super::FrontContext;
-use super::permits::QuotaNews;
+use super::permits::QuotaMessage;
 
 /// Takes in what an upstream's answer to a request that was sent at `sent_at` says of its limit.
-pub fn note_limit<Dialect>(
+pub fn record_limit<Dialect>(
     front: &FrontContext<Dialect>,
     upstream: &RouteUpstream,
     facts: &ReplyFacts,
@@ -40,7 +40,7 @@
         .quota
         .borrow_mut()
         .handle(now, QuotaEvent::Observed(place_of(upstream), observation));
-    act(front, actions);
+    apply_quota_actions(front, actions);
 }
 
 /// An upstream as its quota goes by it.
@@ -52,12 +52,15 @@
 }
 
 /// Does what follows from an event, but for answers to other VMs, which are given back.
-pub fn act<Dialect>(front: &FrontContext<Dialect>, actions: Vec<QuotaAction>) -> Vec<QuotaAction> {
+pub fn apply_quota_actions<Dialect>(
+    front: &FrontContext<Dialect>,
+    actions: Vec<QuotaAction>,
+) -> Vec<QuotaAction> {
     let mut answers = Vec::new();
     for action in actions {
         match action {
             QuotaAction::LogChange(upstream, change) => note_change(front, &upstream, change),
-            QuotaAction::Broadcast(report) => front.tell_quota(QuotaNews::Report(report)),
+            QuotaAction::Broadcast(report) => front.send_quota(QuotaMessage::Report(report)),
             QuotaAction::BackOff {
                 incarnation,
                 priority,
@@ -77,7 +80,7 @@
     wait: Millis,
 ) {
     let now = front.now();
-    let gates = &mut front.book.borrow_mut().gates;
+    let gates = &mut front.monitor.borrow_mut().gates;
     gates.limit_until(incarnation, priority, now + wait, now);
 }
 
@@ -91,7 +94,7 @@
             log::info!("event=upstream_limited upstream={incarnation} rate={rate}");
         }
         LimitChange::Withdrawn => {
-            front.book.borrow_mut().gates.clear_limits(incarnation);
+            front.monitor.borrow_mut().gates.clear_limits(incarnation);
             log::info!("event=upstream_unlimited upstream={incarnation}");
         }
     }
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -68,7 +68,7 @@
 use crate::shared::SharedState;
 use crate::stop::StopControl;
 use budget::RepeatBudget;
-use permits::{PermitQueue, QuotaNews};
+use permits::{PermitQueue, QuotaMessage};
 use pool::ConnectionPool;
 
 /// What every request needs. Lives on one thread.
@@ -80,11 +80,11 @@
     /// Connections to upstreams.
     pub pool: Rc<ConnectionPool>,
     /// Load and trouble of upstreams.
-    pub book: Rc<RefCell<UpstreamMonitor>>,
+    pub monitor: Rc<RefCell<UpstreamMonitor>>,
     /// What callers ask of each model.
     pub demand: RefCell<DemandMeter>,
     /// When refused callers should come back.
-    pub returns: RefCell<ReturnDelays>,
+    pub return_delays: RefCell<ReturnDelays>,
     /// Repeats sent.
     pub budget: RefCell<RepeatBudget>,
     /// Limits that upstreams advertise, and what is sent there by all VMs.
@@ -94,11 +94,11 @@
     /// The life cycle of the process.
     pub stop: Rc<StopControl>,
     /// What this VM saw of requests under which upstreams ended, for the other VMs.
-    pub crash_news: mpsc::Sender<QuarantineRecord>,
+    pub crash_records: mpsc::Sender<QuarantineRecord>,
     /// Leaders whose streams stand still, for the other VMs.
-    pub still_news: mpsc::Sender<LeaderStill>,
+    pub stall_notices: mpsc::Sender<LeaderStill>,
     /// Words on limits and questions for permits, for the other VMs.
-    pub quota_news: mpsc::Sender<QuotaNews>,
+    pub quota_messages: mpsc::Sender<QuotaMessage>,
 }
 
 impl<Dialect> FrontContext<Dialect> {
@@ -106,9 +106,9 @@
     pub fn new(
         shared: Arc<SharedState>,
         dialect: Dialect,
-        crash_news: mpsc::Sender<QuarantineRecord>,
-        still_news: mpsc::Sender<LeaderStill>,
-        quota_news: mpsc::Sender<QuotaNews>,
+        crash_records: mpsc::Sender<QuarantineRecord>,
+        stall_notices: mpsc::Sender<LeaderStill>,
+        quota_messages: mpsc::Sender<QuotaMessage>,
     ) -> Self {
         let budget = RepeatBudget::new(shared.bounds());
         let quota = QuotaState::new(shared.site.vm.to_string(), rand::random());
@@ -120,16 +120,16 @@
         Self {
             pool: Rc::new(ConnectionPool::new(shared.clock)),
             dialect,
-            book: Rc::new(RefCell::new(UpstreamMonitor::new(place))),
+            monitor: Rc::new(RefCell::new(UpstreamMonitor::new(place))),
             demand: RefCell::default(),
-            returns: RefCell::default(),
+            return_delays: RefCell::default(),
             budget: RefCell::new(budget),
             quota: RefCell::new(quota),
             permits: PermitQueue::default(),
             stop: Rc::new(StopControl::new(Arc::clone(&shared))),
-            crash_news,
-            still_news,
-            quota_news,
+            crash_records,
+            stall_notices,
+            quota_messages,
             shared,
         }
     }
@@ -143,7 +143,7 @@
     }
 
     /// Counts a request's outcome.
-    pub fn count(&self, kind: RouteKind, outcome: &str) {
+    pub fn count_outcome(&self, kind: RouteKind, outcome: &str) {
         let requests = &self.shared.metrics.requests;
         requests.with_label_values(&[kind.as_str(), outcome]).inc();
     }
--- a/crates/gateway/src/front/open.rs
+++ b/crates/gateway/src/front/open.rs
@@ -53,7 +53,7 @@
         (Err(AttemptError::Broken(_)), BreakCause::Closed)
     );
     if is_closed {
-        state.closed_at.push(upstream.incarnation.clone());
+        state.disconnected.push(upstream.incarnation.clone());
     }
     look_for_end(front, request, state, upstream, &outcome, cause).await;
     let has_arrived = match &outcome {
@@ -62,11 +62,11 @@
     };
     state.arrivals += usize::from(has_arrived);
     match has_arrived {
-        true => state.repeat_taken = None,
+        true => state.retry_taken_at = None,
         false => give_repeat_back(front, state),
     }
     if outcome.is_ok() {
-        state.run_at.push(upstream.incarnation.clone());
+        state.possible_runs.push(upstream.incarnation.clone());
     }
     outcome
 }
@@ -120,7 +120,7 @@
     DispatchedRequest {
         sent_at,
         expected_first_event: front
-            .book
+            .monitor
             .borrow()
             .expected_first_event(upstream, prompt, sent_at),
         is_last: runs >= state.route.max_attempts as usize,
@@ -168,7 +168,7 @@
 ) {
     let now = front.now();
     let is_engine = upstream.group.is_some();
-    let mut book = front.book.borrow_mut();
+    let mut book = front.monitor.borrow_mut();
     match outcome {
         Ok(_) => book.record_progress(&upstream.incarnation, now),
         Err(error) => {
@@ -182,7 +182,7 @@
                 _ => book.record_failure(&upstream.incarnation, now),
             }
             if error.may_have_run() {
-                state.run_at.push(upstream.incarnation.clone());
+                state.possible_runs.push(upstream.incarnation.clone());
             }
             if matches!(error, AttemptError::Refused(_)) {
                 book.lower_limit(&upstream.incarnation, upstream.slots);
--- a/crates/gateway/src/front/permits.rs
+++ b/crates/gateway/src/front/permits.rs
@@ -13,7 +13,7 @@
 
 use super::FrontContext;
 use super::attempt::SentRequest;
-use super::limits::{act, hold_back, place_of};
+use super::limits::{apply_quota_actions, hold_back, place_of};
 
 /// The longest wait for the owner of an upstream's quota: two datagrams and a busy process on an eighth of a core. Others are
 /// sent to instead after it, so it stays well within the shortest objectives.
@@ -24,7 +24,7 @@
 
 /// What is told or asked of other VMs.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub enum QuotaNews {
+pub enum QuotaMessage {
     /// What an upstream says of its limit, for all.
     Report(LimitReport),
     /// A question for the owner of a quota.
@@ -125,7 +125,7 @@
     // The owner gave it at some moment from now on; the process may be suspended before it sees the answer.
     let asked_at = front.now();
     let answer = front.permits.enter(number);
-    front.tell_quota(QuotaNews::Question {
+    front.send_quota(QuotaMessage::Question {
         vm: owner,
         question,
     });
@@ -138,7 +138,7 @@
             front.permits.leave(number);
             let event = QuotaEvent::TimedOut(number);
             let actions = front.quota.borrow_mut().handle(front.now(), event);
-            act(front, actions);
+            apply_quota_actions(front, actions);
             log::info!("event=permit_unanswered upstream={incarnation} owner={asked_of}");
             None
         }
@@ -146,10 +146,10 @@
 }
 
 /// Takes in the owner's answer to a question of this VM.
-pub fn settle<Dialect>(front: &FrontContext<Dialect>, answer: &PermitAnswer) {
+pub fn deliver_permit_answer<Dialect>(front: &FrontContext<Dialect>, answer: &PermitAnswer) {
     let event = QuotaEvent::PermitAnswered(answer);
     let actions = front.quota.borrow_mut().handle(front.now(), event);
-    act(front, actions);
+    apply_quota_actions(front, actions);
     if let Some(waiting) = front.permits.leave(answer.number) {
         // Nobody waits any more where its caller has left.
         let _ = waiting.send(answer.verdict);
@@ -172,7 +172,7 @@
         .rate(&upstream.incarnation)
         .is_some();
     let gate = front
-        .book
+        .monitor
         .borrow()
         .gates
         .state(&upstream.incarnation, request.priority, now);
@@ -182,8 +182,8 @@
 
 impl<Dialect> FrontContext<Dialect> {
     /// Tells or asks other VMs.
-    pub(super) fn tell_quota(&self, news: QuotaNews) {
-        if let Err(error) = self.quota_news.try_send(news) {
+    pub(super) fn send_quota(&self, news: QuotaMessage) {
+        if let Err(error) = self.quota_messages.try_send(news) {
             log::info!("event=notice_not_sent reason=\"{error}\"");
         }
     }
--- a/crates/gateway/src/front/plan.rs
+++ b/crates/gateway/src/front/plan.rs
@@ -82,33 +82,44 @@
     }
     // Nobody is left to pass its answer on.
     if front.stop.has_ended() {
-        return Err(CallRefusal::later(ErrorKind::ShuttingDown, RETURN_STOPPING));
+        return Err(CallRefusal::retry_in(
+            ErrorKind::ShuttingDown,
+            RETURN_STOPPING,
+        ));
     }
     // Since it was admitted its body was waited for, or an upstream: sent on this late, it could be cut.
     let answer_end = front.stop.answer_end(now);
     if state.sends() == 0 && answer_end.is_some_and(|end| state.deadline > end) {
-        return Err(CallRefusal::later(ErrorKind::ShuttingDown, RETURN_STOPPING));
+        return Err(CallRefusal::retry_in(
+            ErrorKind::ShuttingDown,
+            RETURN_STOPPING,
+        ));
     }
     let view: Arc<ClusterView> = front.shared.view.load_full();
     let config = view.config.as_ref().ok_or(ErrorKind::NoBundle)?;
     check_key(front, config, request, state, now)?;
     let isolation_index = check_standing(front, request, state)?;
-    let no_upstream = CallRefusal::later(ErrorKind::NoUpstream, RETURN_NO_UPSTREAM);
+    let no_upstream = CallRefusal::retry_in(ErrorKind::NoUpstream, RETURN_NO_UPSTREAM);
     let pool = view.pools.get(&state.service).ok_or(no_upstream)?;
     let upstreams = match &request.call.model {
         Some(model) if !pool.models.is_empty() => pool.models.get(model).ok_or(no_upstream)?,
         _ => &pool.plain,
     };
     let model = request.call.model.as_ref();
-    let when_full = || front.returns.borrow().delay_if_full(model, rand::random());
-    let refused = CallRefusal::later(ErrorKind::UpstreamRefused, when_full());
+    let when_full = || {
+        front
+            .return_delays
+            .borrow()
+            .delay_if_full(model, rand::random())
+    };
+    let refused = CallRefusal::retry_in(ErrorKind::UpstreamRefused, when_full());
     let runs = runs_that_count(front, &view, state);
     if let Some(reason) = spent_by(state, runs) {
         note_not_sent_on(request, state, runs, reason);
         return Err(refused);
     }
     let home = &front.shared.site.failure_domain;
-    let book = front.book.borrow();
+    let book = front.monitor.borrow();
     let ask = UpstreamCriteria {
         home,
         tried: &state.tried,
@@ -128,7 +139,7 @@
                 request.call.id,
                 book.describe(upstreams, now)
             );
-            return Err(CallRefusal::later(ErrorKind::Overloaded, when_full()));
+            return Err(CallRefusal::retry_in(ErrorKind::Overloaded, when_full()));
         }
         UpstreamChoice::Closed(Some(opens_at)) => {
             log::info!(
@@ -155,14 +166,14 @@
             note_not_sent_on(request, state, runs, "no repeat left");
             return Err(refused);
         }
-        state.repeat_taken = Some(now);
+        state.retry_taken_at = Some(now);
     }
     Ok(chosen.clone())
 }
 
 /// Gives a repeat back that is not sent.
 pub fn give_repeat_back<Dialect>(front: &FrontContext<Dialect>, state: &mut CallState) {
-    if let Some(taken_at) = state.repeat_taken.take() {
+    if let Some(taken_at) = state.retry_taken_at.take() {
         let mut budget = front.budget.borrow_mut();
         budget.give_back(taken_at, &state.service);
     }
@@ -172,7 +183,7 @@
 fn paused(opens_at: Option<Millis>, now: Millis) -> CallRefusal {
     let wait = opens_at.map_or(RETURN_NO_UPSTREAM, |at| at.since(now));
     let spread = Millis(rand::random_range(0..=RETURN_SPREAD.0));
-    CallRefusal::later(ErrorKind::UpstreamsPaused, wait.max(LEAST_RETURN) + spread)
+    CallRefusal::retry_in(ErrorKind::UpstreamsPaused, wait.max(LEAST_RETURN) + spread)
 }
 
 /// Why a request has been sent often enough, if it has.
@@ -208,9 +219,9 @@
     let quarantine = front.shared.quarantine.lock();
     // One that only left the directory may run on: it leaves without a word, or is cut off from the store.
     let is_gone = |incarnation: &UpstreamIncarnation| {
-        state.closed_at.contains(incarnation) && !view.is_listed(incarnation)
+        state.disconnected.contains(incarnation) && !view.is_listed(incarnation)
     };
-    let runs = state.run_at.iter();
+    let runs = state.possible_runs.iter();
     let counted =
         runs.filter(|incarnation| !quarantine.has_crashed(incarnation) && !is_gone(incarnation));
     counted.count()
@@ -231,7 +242,7 @@
         let kind = ErrorKind::ConfigUnconfirmed;
         let left = state.deadline.since(now);
         let wait = front.outage(now).return_delay(left, rand::random());
-        return Err(CallRefusal::later(kind, wait));
+        return Err(CallRefusal::retry_in(kind, wait));
     }
     authorize(config, &state.route, &request.call)?;
     Ok(())
--- a/crates/gateway/src/front/quiet.rs
+++ b/crates/gateway/src/front/quiet.rs
@@ -19,7 +19,7 @@
     run: DispatchedRequest,
 ) -> bool {
     let now = front.now();
-    let mut book = front.book.borrow_mut();
+    let mut book = front.monitor.borrow_mut();
     let verdict = book.judge_stall(upstream, model, run, now);
     if verdict == StallVerdict::Sound {
         return false;
@@ -55,7 +55,7 @@
         witness: told.witness,
         is_stalled: true,
     };
-    if let Err(error) = front.still_news.try_send(silence) {
+    if let Err(error) = front.stall_notices.try_send(silence) {
         log::debug!(
             "event=silence_not_told upstream={} reason={error}",
             upstream.incarnation
--- a/crates/gateway/src/front/refusal.rs
+++ b/crates/gateway/src/front/refusal.rs
@@ -56,7 +56,7 @@
     }
 
     /// A refusal that says when to come back.
-    pub const fn later(kind: ErrorKind, wait: Millis) -> Self {
+    pub const fn retry_in(kind: ErrorKind, wait: Millis) -> Self {
         Self {
             kind,
             retry_after: Some(wait),
--- a/crates/gateway/src/front/relay.rs
+++ b/crates/gateway/src/front/relay.rs
@@ -133,7 +133,7 @@
             let _ = self.sender.send(Err(BrokenAnswer)).await;
         }
         self.log_end(outcome);
-        self.front.count(self.state.route.kind, outcome);
+        self.front.count_outcome(self.state.route.kind, outcome);
     }
 
     fn log_end(&self, outcome: &str) {
@@ -219,7 +219,7 @@
                 Ok(Some(Err(error))) => return broken(&error.to_string()),
                 Ok(Some(Ok(frame))) => {
                     let now = self.front.now();
-                    let mut book = self.front.book.borrow_mut();
+                    let mut book = self.front.monitor.borrow_mut();
                     book.record_progress(&reply.upstream.incarnation, now);
                     drop(book);
                     if let Some(data) = frame.data_ref() {
@@ -245,7 +245,7 @@
             return;
         };
         let upstream = &reply.upstream;
-        let mut book = self.front.book.borrow_mut();
+        let mut book = self.front.monitor.borrow_mut();
         let pace = book.latencies.get_mut(model);
         pace.record_gap(now.since(last), upstream.speed, upstream.slots);
     }
@@ -255,7 +255,7 @@
         let upstream = &reply.upstream;
         let objective = self.state.route.objective;
         let took = now.since(reply.run.sent_at);
-        let mut book = self.front.book.borrow_mut();
+        let mut book = self.front.monitor.borrow_mut();
         book.record_first_event(&upstream.incarnation, upstream.slots, took, objective, now);
         if let Some(model) = &self.request.call.model {
             let pace = book.latencies.get_mut(model);
@@ -296,11 +296,14 @@
 
     fn finish(&self, reply: OpenReply) {
         let id = reply.upstream.incarnation.clone();
-        self.front.book.borrow_mut().record_success(&id);
+        self.front.monitor.borrow_mut().record_success(&id);
         note_whole(&self.front, &self.request, &self.state);
         if let Some(model) = &self.request.call.model {
             let took = self.front.now().since(reply.run.sent_at);
-            self.front.returns.borrow_mut().record_answer(model, took);
+            self.front
+                .return_delays
+                .borrow_mut()
+                .record_answer(model, took);
             if self.request.call.resume_after.is_none() {
                 let mut demand = self.front.demand.borrow_mut();
                 demand.record_answer(model, self.delivered);
@@ -314,11 +317,11 @@
         let now = self.front.now();
         if cause == BreakCause::Closed {
             self.state
-                .closed_at
+                .disconnected
                 .push(reply.upstream.incarnation.clone());
         }
         self.front
-            .book
+            .monitor
             .borrow_mut()
             .record_failure(&reply.upstream.incarnation, now);
         log::info!(
--- a/crates/gateway/src/front/server.rs
+++ b/crates/gateway/src/front/server.rs
@@ -194,7 +194,7 @@
         let now: IndexMap<_, _> = leaders
             .map(|leader| (leader.incarnation.clone(), leader.group.clone()))
             .collect();
-        let mut book = front.book.borrow_mut();
+        let mut book = front.monitor.borrow_mut();
         let vms: Vec<&str> = view.entries.keys().map(String::as_str).collect();
         let leaders = view.pools.values();
         let leaders = leaders.flat_map(|pool| pool.models.values().flatten());
@@ -216,7 +216,7 @@
         let is_listed = |incarnation: &UpstreamIncarnation| view.is_listed(incarnation);
         front.pool.retain(is_listed);
         let now = front.now();
-        front.book.borrow_mut().retain(is_listed, now);
+        front.monitor.borrow_mut().retain(is_listed, now);
         front.quota.borrow_mut().retain(is_listed, now);
         show_limited(&front);
         show_backing_off(&front);
--- a/crates/gateway/src/front/standing.rs
+++ b/crates/gateway/src/front/standing.rs
@@ -36,7 +36,7 @@
         request.call.id,
         state.sends()
     );
-    Err(CallRefusal::later(
+    Err(CallRefusal::retry_in(
         ErrorKind::Quarantined,
         RETURN_QUARANTINED,
     ))
--- a/crates/gateway/src/front/state.rs
+++ b/crates/gateway/src/front/state.rs
@@ -22,11 +22,11 @@
     /// How often it reached one, run or not.
     pub arrivals: usize,
     /// Of these, where it may have run.
-    pub run_at: Vec<UpstreamIncarnation>,
+    pub possible_runs: Vec<UpstreamIncarnation>,
     /// Of these, where the connection ended before the answer did.
-    pub closed_at: Vec<UpstreamIncarnation>,
+    pub disconnected: Vec<UpstreamIncarnation>,
     /// When the repeat that is being sent was taken from the budget; none for the first send.
-    pub repeat_taken: Option<Millis>,
+    pub retry_taken_at: Option<Millis>,
     /// Follows it to the end of its answer.
     pub trace: Rc<RequestTrace>,
 }
@@ -34,7 +34,7 @@
 impl CallState {
     /// Whether it may have run.
     pub fn may_have_run(&self) -> bool {
-        !self.run_at.is_empty()
+        !self.possible_runs.is_empty()
     }
 
     /// How often it was sent without reaching an upstream.
--- a/crates/gateway/src/front/trace.rs
+++ b/crates/gateway/src/front/trace.rs
@@ -33,7 +33,7 @@
     }
 
     /// Notes the request's id.
-    pub fn note_id(&self, id: &RequestId) {
+    pub fn record_id(&self, id: &RequestId) {
         if self.id.set(id.clone()).is_err() {
             return;
         }
