--- a/crates/gateway/src/front/head_timer.rs
+++ b/crates/gateway/src/front/head_timer.rs
@@ -1,7 +1,7 @@
-//! Bounds the time that a request's head may take to arrive.
+//! Limits how long the head of a request may take to arrive.
 //!
-//! The HTTP library counts its own time from the end of the last answer, so that it bounds idle
-//! connections, which may rest for much longer than a head may take.
+//! The HTTP library measures its own timeout from the end of the last answer, so that timeout
+//! applies to idle connections, which may last much longer than the arrival of a head.
 
 use std::cell::Cell;
 use std::io;
@@ -14,27 +14,28 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Time between two looks at a connection whose head has not begun.
-const IDLE_LOOK: Duration = Duration::from_secs(1);
+/// Time between two checks of a connection on which no head has begun to arrive.
+const IDLE_CHECK_PERIOD: Duration = Duration::from_secs(1);
 
-/// How long a connection may stay silent after it was opened, where that matters. Callers send their request with the
-/// connection, and one that has got no attention for a second leaves by itself.
-const SILENT_TIME: Duration = Duration::from_millis(1_000);
+/// How long a new connection may stay open without sending a byte while the VM stops. Callers send
+/// their request right after connecting, and disconnect on their own if they are not served within
+/// a second.
+const FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Where a connection stands.
+/// What a connection is doing.
 #[derive(Clone, Copy, Debug)]
 enum HeadState {
-    /// Nothing has come yet.
+    /// No byte has arrived.
     Fresh,
     /// Between two requests.
     Idle,
-    /// A head began to arrive.
+    /// A head has been arriving since this time.
     Arriving(Instant),
     /// A request is being answered.
     Answering,
 }
 
-/// What the connection and its service tell each other.
+/// State that a connection shares with its service.
 #[derive(Clone, Debug)]
 pub struct HeadTimer {
     state: Rc<Cell<HeadState>>,
@@ -43,7 +44,7 @@
 }
 
 impl HeadTimer {
-    /// A timer for a new connection.
+    /// Creates the timer of a new connection.
     pub fn new(limit: Duration) -> Self {
         Self {
             state: Rc::new(Cell::new(HeadState::Fresh)),
@@ -52,30 +53,32 @@
         }
     }
 
-    /// Returns when no byte has come for a second since the connection was opened; never where one has.
-    pub async fn silent(&self) {
-        tokio::time::sleep_until(self.opened + SILENT_TIME).await;
+    /// Resolves once the connection has been open for a second without receiving a byte. Never
+    /// resolves if a byte arrived by then.
+    pub async fn first_byte_overdue(&self) {
+        tokio::time::sleep_until(self.opened + FIRST_BYTE_TIMEOUT).await;
         if !matches!(self.state.get(), HeadState::Fresh) {
             std::future::pending::<()>().await;
         }
     }
 
-    /// Whether a request has been read on this connection, so that the library closes it no sooner than after the answer.
+    /// Whether a request was read on this connection. If so, the library closes the connection
+    /// only after the answer.
     pub fn has_been_used(&self) -> bool {
         matches!(self.state.get(), HeadState::Idle | HeadState::Answering)
     }
 
-    /// Notes that a head has arrived. Bytes that come before the end of the answer belong to no
-    /// head yet.
-    pub fn arrived(&self) -> HeadGuard {
+    /// Records that a head has arrived. Until the end of the answer, further bytes do not start the
+    /// timer of the next head.
+    pub fn record_head(&self) -> HeadGuard {
         self.state.set(HeadState::Answering);
         HeadGuard {
             state: Rc::clone(&self.state),
         }
     }
 
-    /// Returns when a head has taken too long.
-    pub async fn overdue(&self) {
+    /// Resolves when a head has taken too long to arrive.
+    pub async fn head_overdue(&self) {
         loop {
             match self.state.get() {
                 HeadState::Arriving(since) if since.elapsed() >= self.limit => return,
@@ -83,20 +86,20 @@
                     tokio::time::sleep_until(since + self.limit).await;
                 }
                 HeadState::Fresh | HeadState::Idle | HeadState::Answering => {
-                    tokio::time::sleep(self.limit.min(IDLE_LOOK)).await;
+                    tokio::time::sleep(self.limit.min(IDLE_CHECK_PERIOD)).await;
                 }
             }
         }
     }
 
-    fn note_bytes(&self) {
+    fn record_bytes(&self) {
         if matches!(self.state.get(), HeadState::Fresh | HeadState::Idle) {
             self.state.set(HeadState::Arriving(Instant::now()));
         }
     }
 }
 
-/// Lasts from the arrival of a head to the end of its answer.
+/// Marks the connection as busy from the arrival of a head to the end of its answer.
 pub struct HeadGuard {
     state: Rc<Cell<HeadState>>,
 }
@@ -107,14 +110,14 @@
     }
 }
 
-/// A caller's connection that tells its timer of arriving bytes.
+/// A caller's connection that reports arriving bytes to its timer.
 pub struct TimedStream {
     stream: TcpStream,
     timer: HeadTimer,
 }
 
 impl TimedStream {
-    /// Watches a connection.
+    /// Wraps a connection.
     pub fn new(stream: TcpStream, timer: HeadTimer) -> Self {
         Self { stream, timer }
     }
@@ -126,10 +129,10 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = buffer.filled().len();
+        let filled_before = buffer.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(context, buffer);
-        if polled.is_ready() && buffer.filled().len() > before {
-            self.timer.note_bytes();
+        if polled.is_ready() && buffer.filled().len() > filled_before {
+            self.timer.record_bytes();
         }
         polled
     }
--- a/crates/gateway/src/front/limits.rs
+++ b/crates/gateway/src/front/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that upstreams advertise in their answers.
+//! Rate limits that upstreams advertise in their answers.
 
 use bergamot_ports::ReplyFacts;
 use bergamot_quota::{LimitChange, LimitObservation, QuotaAction, QuotaEvent, QuotaTarget};
@@ -8,7 +8,7 @@
 use super::FrontContext;
 use super::permits::QuotaMessage;
 
-/// Takes in what an upstream's answer to a request that was sent at `sent_at` says of its limit.
+/// Records the limit that an upstream advertises in its answer to a request sent at `sent_at`.
 pub fn record_limit<Dialect>(
     front: &FrontContext<Dialect>,
     upstream: &RouteUpstream,
@@ -26,7 +26,8 @@
             return;
         }
     };
-    // A request may be turned away before it comes to where limits are named.
+    // An upstream may reject a request before the stage that adds the limit to the answer, so a
+    // missing limit does not mean that it was withdrawn.
     if facts.is_not_run && rate.is_none() {
         return;
     }
@@ -36,22 +37,23 @@
         sent_at,
         received_at: now,
     };
-    let actions = front
-        .quota
-        .borrow_mut()
-        .handle(now, QuotaEvent::Observed(place_of(upstream), observation));
+    let actions = front.quota.borrow_mut().handle(
+        now,
+        QuotaEvent::Observed(quota_target(upstream), observation),
+    );
     apply_quota_actions(front, actions);
 }
 
-/// An upstream as its quota goes by it.
-pub fn place_of(upstream: &RouteUpstream) -> QuotaTarget<'_> {
+/// Returns the upstream as a target of the quota state.
+pub fn quota_target(upstream: &RouteUpstream) -> QuotaTarget<'_> {
     QuotaTarget {
         incarnation: &upstream.incarnation,
         failure_domain: &upstream.failure_domain,
     }
 }
 
-/// Does what follows from an event, but for answers to other VMs, which are given back.
+/// Executes the actions of the quota state. Returns the answers to other VMs, which the caller has
+/// to send.
 pub fn apply_quota_actions<Dialect>(
     front: &FrontContext<Dialect>,
     actions: Vec<QuotaAction>,
@@ -59,21 +61,22 @@
     let mut answers = Vec::new();
     for action in actions {
         match action {
-            QuotaAction::LogChange(upstream, change) => note_change(front, &upstream, change),
+            QuotaAction::LogChange(upstream, change) => log_change(front, &upstream, change),
             QuotaAction::Broadcast(report) => front.send_quota(QuotaMessage::Report(report)),
             QuotaAction::BackOff {
                 incarnation,
                 priority,
                 wait,
-            } => hold_back(front, &incarnation, priority, wait),
+            } => back_off(front, &incarnation, priority, wait),
             QuotaAction::Answer { .. } => answers.push(action),
         }
     }
     answers
 }
 
-/// Sends nothing there for a while that is no more urgent.
-pub fn hold_back<Dialect>(
+/// Backs off from an upstream: for `wait`, only requests more urgent than `priority` are sent to
+/// it.
+pub fn back_off<Dialect>(
     front: &FrontContext<Dialect>,
     incarnation: &UpstreamIncarnation,
     priority: u8,
@@ -84,7 +87,7 @@
     gates.limit_until(incarnation, priority, now + wait, now);
 }
 
-fn note_change<Dialect>(
+fn log_change<Dialect>(
     front: &FrontContext<Dialect>,
     incarnation: &UpstreamIncarnation,
     change: LimitChange,
@@ -98,12 +101,12 @@
             log::info!("event=upstream_unlimited upstream={incarnation}");
         }
     }
-    show_limited(front);
+    update_limited_metric(front);
 }
 
-/// Shows how many upstreams advertise a limit.
-pub fn show_limited<Dialect>(front: &FrontContext<Dialect>) {
-    let limited = front.quota.borrow().limits().len();
+/// Updates the metric that counts the upstreams that advertise a limit.
+pub fn update_limited_metric<Dialect>(front: &FrontContext<Dialect>) {
+    let limited_count = front.quota.borrow().limits().len();
     let metrics = &front.shared.metrics;
-    metrics.set_state("limited_upstreams", limited as i64);
+    metrics.set_state("limited_upstreams", limited_count as i64);
 }
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -1,28 +1,28 @@
-//! The callers' duty: takes requests in and carries each to one final answer.
+//! The front thread: accepts requests from callers and drives each one to a single final answer.
 //!
-//! | module | what it does |
+//! | module | contents |
 //! | --- | --- |
-//! | [`server`] | connections of callers, readiness, the stop |
-//! | [`admit`] | route, account and body of a request |
-//! | [`head_timer`] | the time that a request's head may take |
-//! | [`call`] | one request from its head to its answer |
-//! | [`state`] | where a request stands |
-//! | [`trace`] | what is known of a request until its answer has left |
+//! | [`server`] | callers' connections, readiness, shutdown |
+//! | [`admit`] | checks of a request's route, account and body |
+//! | [`head_timer`] | time limit for the head of a request |
+//! | [`call`] | one request, from its head to its answer |
+//! | [`state`] | state of a request |
+//! | [`trace`] | logs requests that a shutdown leaves without a complete answer |
 //! | [`plan`] | the next upstream for a request |
-//! | [`deadline`] | waits that end at a deadline |
-//! | [`attempt`] | one try at one upstream |
-//! | [`relay`] | a stream of events, over several upstreams if need be |
-//! | [`breaks`] | requests that were broken off at upstreams, and whether these have ended |
-//! | [`ends`] | the same by the directory |
-//! | [`standing`] | whether a request may be sent, by the upstreams that ended under it |
-//! | [`quiet`] | when an upstream counts as standing still |
-//! | [`refusal`] | answers of this system's own |
-//! | [`flight`] | counts of requests at upstreams |
-//! | [`gates`] | upstreams that ask VMs to back off, or say that they leave |
-//! | [`limits`] | limits that upstreams advertise in their answers |
-//! | [`permits`] | permits to send to an upstream that advertises a limit |
-//! | [`exchange`] | what all entry VMs have in flight, told between them |
-//! | [`budget`] | how many repeats may be sent |
+//! | [`deadline`] | waiting with a deadline |
+//! | [`attempt`] | one attempt at one upstream |
+//! | [`relay`] | event streams, which may resume at another upstream |
+//! | [`breaks`] | requests that broke at an upstream, and whether the upstream crashed |
+//! | [`ends`] | crashes that the directory shows |
+//! | [`standing`] | whether a request may be sent, given the crashes it is suspected of |
+//! | [`quiet`] | detection of stalled upstreams |
+//! | [`refusal`] | error responses of this system |
+//! | [`flight`] | counts of requests in flight |
+//! | [`gates`] | upstreams that ask for backoff or announce that they leave |
+//! | [`limits`] | rate limits that upstreams advertise in their answers |
+//! | [`permits`] | permits to send to an upstream with a limit |
+//! | [`exchange`] | exchange of load reports and notices between entry VMs |
+//! | [`budget`] | how many retries may be sent |
 //! | [`pool`] | connections to upstreams |
 
 pub mod admit;
@@ -71,38 +71,38 @@
 use permits::{PermitQueue, QuotaMessage};
 use pool::ConnectionPool;
 
-/// What every request needs. Lives on one thread.
+/// State that all requests share. It is confined to one thread.
 pub struct FrontContext<Dialect> {
-    /// What all duties share.
+    /// State shared with the other threads.
     pub shared: Arc<SharedState>,
-    /// How callers and upstreams speak.
+    /// The protocol of callers and upstreams.
     pub dialect: Dialect,
     /// Connections to upstreams.
     pub pool: Rc<ConnectionPool>,
-    /// Load and trouble of upstreams.
+    /// Load, failures and stalls of upstreams.
     pub monitor: Rc<RefCell<UpstreamMonitor>>,
-    /// What callers ask of each model.
+    /// Demand for each model.
     pub demand: RefCell<DemandMeter>,
-    /// When refused callers should come back.
-    pub return_delays: RefCell<ReturnDelays>,
-    /// Repeats sent.
+    /// Delays after which rejected callers are asked to return.
+    pub delays: RefCell<ReturnDelays>,
+    /// The budget for retries.
     pub budget: RefCell<RepeatBudget>,
-    /// Limits that upstreams advertise, and what is sent there by all VMs.
+    /// Limits that upstreams advertise, and the rate at which all VMs send to them.
     pub quota: RefCell<QuotaState>,
-    /// Requests that wait for a permit.
+    /// Requests waiting for a permit.
     pub permits: PermitQueue,
     /// The life cycle of the process.
     pub stop: Rc<StopControl>,
-    /// What this VM saw of requests under which upstreams ended, for the other VMs.
+    /// Sends crashes that this VM observed, and the requests that ran there, to the other VMs.
     pub crash_records: mpsc::Sender<QuarantineRecord>,
-    /// Leaders whose streams stand still, for the other VMs.
+    /// Sends notices of stalled leaders to the other VMs.
     pub stall_notices: mpsc::Sender<LeaderStill>,
-    /// Words on limits and questions for permits, for the other VMs.
+    /// Sends limit reports and permit questions to the other VMs.
     pub quota_messages: mpsc::Sender<QuotaMessage>,
 }
 
 impl<Dialect> FrontContext<Dialect> {
-    /// A context without any connection yet.
+    /// Creates a context without connections.
     pub fn new(
         shared: Arc<SharedState>,
         dialect: Dialect,
@@ -112,7 +112,7 @@
     ) -> Self {
         let budget = RepeatBudget::new(shared.bounds());
         let quota = QuotaState::new(shared.site.vm.to_string(), rand::random());
-        let place = PeerDescriptor {
+        let descriptor = PeerDescriptor {
             vm: shared.site.vm.to_string(),
             failure_domain: shared.site.failure_domain.clone(),
             millicores: shared.site.millicores,
@@ -120,9 +120,9 @@
         Self {
             pool: Rc::new(ConnectionPool::new(shared.clock)),
             dialect,
-            monitor: Rc::new(RefCell::new(UpstreamMonitor::new(place))),
+            monitor: Rc::new(RefCell::new(UpstreamMonitor::new(descriptor))),
             demand: RefCell::default(),
-            return_delays: RefCell::default(),
+            delays: RefCell::default(),
             budget: RefCell::new(budget),
             quota: RefCell::new(quota),
             permits: PermitQueue::default(),
@@ -134,7 +134,8 @@
         }
     }
 
-    /// Since when this VM has had no confirmed configuration, as far as a refusal for want of one goes.
+    /// Returns how long this VM has been without a confirmed configuration. Determines when callers
+    /// rejected for that reason are asked to return.
     pub fn outage(&self, now: Millis) -> ServingOutage {
         ServingOutage {
             duration: self.shared.config_age(now).min(self.shared.clock.age()),
@@ -142,13 +143,13 @@
         }
     }
 
-    /// Counts a request's outcome.
+    /// Counts the outcome of a request.
     pub fn count_outcome(&self, kind: RouteKind, outcome: &str) {
         let requests = &self.shared.metrics.requests;
         requests.with_label_values(&[kind.as_str(), outcome]).inc();
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> Millis {
         self.shared.clock.now()
     }
--- a/crates/gateway/src/front/open.rs
+++ b/crates/gateway/src/front/open.rs
@@ -1,4 +1,4 @@
-//! One try at one upstream until the head of its answer, with all the accounts kept.
+//! One attempt at one upstream, up to the head of its answer, with all its bookkeeping.
 
 use std::rc::Rc;
 
@@ -10,15 +10,15 @@
 use super::FrontContext;
 use super::attempt::{AttemptError, OpenReply, SentRequest, send};
 use super::breaks::{LeftGuard, note_break, note_no_listener};
-use super::plan::{PlannedSend, give_repeat_back, runs_that_count};
-use super::quiet::{LOOK_PERIOD, look_quiet, report_quiet};
+use super::plan::{PlannedSend, refund_retry, uncrashed_runs};
+use super::quiet::{STALL_CHECK_PERIOD, check_stall, report_stall};
 use super::state::CallState;
 
-/// Time between two looks at the deadline of a request to a plain service: timers stand still while the VM is suspended,
-/// and its caller goes on.
-const PLAIN_LOOK: Millis = Millis(500);
+/// Time between two checks of the deadline of a request to a plain service. A single timer would
+/// not do: timers pause while the VM is suspended, but the caller's deadline passes.
+const PLAIN_CHECK_PERIOD: Millis = Millis(500);
 
-/// Sends a request once and waits for the head of its answer, with all the accounts kept.
+/// Sends a request once, waits for the head of its answer, and records the outcome.
 pub async fn open<Dialect>(
     front: &Rc<FrontContext<Dialect>>,
     request: &SentRequest,
@@ -30,32 +30,42 @@
     Dialect: CallerDialect + 'static,
 {
     let upstream = &planned.upstream;
-    let left = state.deadline.since(front.now());
+    let time_left = state.deadline.since(front.now());
     state.tried.push(upstream.incarnation.clone());
-    state.trace.note_sent(&upstream.incarnation);
-    let run = sent_run(front, request, state, upstream);
+    state.trace.record_upstream(&upstream.incarnation);
+    let dispatched = dispatched_request(front, request, state, upstream);
     let permit = planned.permit;
-    let sent = send(front, request, upstream, permit, run, left, resume_after);
+    let sending = send(
+        front,
+        request,
+        upstream,
+        permit,
+        dispatched,
+        time_left,
+        resume_after,
+    );
     let guard = LeftGuard::new(front, request, &upstream.incarnation);
-    let (outcome, cause) = match await_head(front, request, state, run, upstream, sent).await {
-        Ok(outcome) => (outcome, BreakCause::Closed),
-        Err(reason) => (Err(AttemptError::Broken(reason)), BreakCause::Stalled),
-    };
-    // Past the deadline nobody waits for it, as if its caller had left.
+    let (outcome, cause) =
+        match await_head(front, request, state, dispatched, upstream, sending).await {
+            Ok(outcome) => (outcome, BreakCause::Closed),
+            Err(reason) => (Err(AttemptError::Broken(reason)), BreakCause::Stalled),
+        };
+    // After the deadline nobody waits for the answer, so the attempt is recorded as if the caller
+    // had disconnected.
     match &outcome {
         Err(error) if error.may_have_run() && front.now() >= state.deadline => drop(guard),
         _ => guard.end(),
     }
     count_attempt(front, state, &outcome);
-    note_tried(front, state, upstream, &outcome);
-    let is_closed = matches!(
+    record_attempt(front, state, upstream, &outcome);
+    let is_disconnected = matches!(
         (&outcome, cause),
         (Err(AttemptError::Broken(_)), BreakCause::Closed)
     );
-    if is_closed {
+    if is_disconnected {
         state.disconnected.push(upstream.incarnation.clone());
     }
-    look_for_end(front, request, state, upstream, &outcome, cause).await;
+    check_for_crash(front, request, state, upstream, &outcome, cause).await;
     let has_arrived = match &outcome {
         Ok(_) => true,
         Err(error) => error.may_have_arrived(),
@@ -63,7 +73,7 @@
     state.arrivals += usize::from(has_arrived);
     match has_arrived {
         true => state.retry_taken_at = None,
-        false => give_repeat_back(front, state),
+        false => refund_retry(front, state),
     }
     if outcome.is_ok() {
         state.possible_runs.push(upstream.incarnation.clone());
@@ -77,15 +87,15 @@
     outcome: &Result<OpenReply, AttemptError>,
 ) {
     let kind = state.route.kind.as_str();
-    let name = outcome
+    let outcome_label = outcome
         .as_ref()
         .map_or_else(AttemptError::as_str, |_| "answered");
     let attempts = &front.shared.metrics.attempts;
-    attempts.with_label_values(&[kind, name]).inc();
+    attempts.with_label_values(&[kind, outcome_label]).inc();
 }
 
-/// Finds out whether the upstream has ended, where a try at it suggests that.
-async fn look_for_end<Dialect>(
+/// Checks whether the upstream crashed, if the outcome of the attempt suggests it.
+async fn check_for_crash<Dialect>(
     front: &Rc<FrontContext<Dialect>>,
     request: &SentRequest,
     state: &CallState,
@@ -107,60 +117,61 @@
     }
 }
 
-/// What is known of a request that is about to be sent.
-fn sent_run<Dialect>(
+/// Returns the facts about a request that is about to be sent.
+fn dispatched_request<Dialect>(
     front: &FrontContext<Dialect>,
     request: &SentRequest,
     state: &CallState,
     upstream: &RouteUpstream,
 ) -> DispatchedRequest {
     let sent_at = front.now();
-    let prompt = request.call.prompt_tokens();
-    let runs = runs_that_count(front, &front.shared.view.load(), state) + 1;
+    let prompt_tokens = request.call.prompt_tokens();
+    let runs = uncrashed_runs(front, &front.shared.view.load(), state) + 1;
     DispatchedRequest {
         sent_at,
-        expected_first_event: front
-            .monitor
-            .borrow()
-            .expected_first_event(upstream, prompt, sent_at),
+        expected_first_event: front.monitor.borrow().expected_first_event(
+            upstream,
+            prompt_tokens,
+            sent_at,
+        ),
         is_last: runs >= state.route.max_attempts as usize,
     }
 }
 
-/// Waits for what comes of a request that is sent. The error says why it was given up.
+/// Waits for the outcome of a sent request. The error states why the wait was abandoned.
 async fn await_head<Dialect, Sent>(
     front: &FrontContext<Dialect>,
     request: &SentRequest,
     state: &CallState,
-    run: DispatchedRequest,
+    dispatched: DispatchedRequest,
     upstream: &RouteUpstream,
-    sent: Sent,
+    sending: Sent,
 ) -> Result<Sent::Output, String>
 where
     Sent: Future,
 {
     let is_engine = upstream.group.is_some();
-    let look = match is_engine {
-        true => LOOK_PERIOD,
-        false => PLAIN_LOOK,
+    let check_period = match is_engine {
+        true => STALL_CHECK_PERIOD,
+        false => PLAIN_CHECK_PERIOD,
     };
-    tokio::pin!(sent);
+    tokio::pin!(sending);
     loop {
-        let pause = look.min(state.deadline.since(front.now()));
-        if let Ok(outcome) = tokio::time::timeout(pause.as_duration(), &mut sent).await {
+        let timeout = check_period.min(state.deadline.since(front.now()));
+        if let Ok(outcome) = tokio::time::timeout(timeout.as_duration(), &mut sending).await {
             return Ok(outcome);
         }
         if front.now() >= state.deadline {
-            return Err("no answer before the deadline".to_owned());
+            return Err("no answer head arrived before the deadline".to_owned());
         }
-        if is_engine && look_quiet(front, upstream, request.call.model.as_ref(), run) {
-            return Err("nothing comes from it".to_owned());
+        if is_engine && check_stall(front, upstream, request.call.model.as_ref(), dispatched) {
+            return Err("the upstream is stalled".to_owned());
         }
     }
 }
 
-/// Keeps the accounts of an upstream after a try at it.
-fn note_tried<Dialect>(
+/// Updates the records of an upstream after an attempt.
+fn record_attempt<Dialect>(
     front: &FrontContext<Dialect>,
     state: &mut CallState,
     upstream: &RouteUpstream,
@@ -168,30 +179,30 @@
 ) {
     let now = front.now();
     let is_engine = upstream.group.is_some();
-    let mut book = front.monitor.borrow_mut();
+    let mut monitor = front.monitor.borrow_mut();
     match outcome {
-        Ok(_) => book.record_progress(&upstream.incarnation, now),
+        Ok(_) => monitor.record_progress(&upstream.incarnation, now),
         Err(error) => {
             match error {
-                // It is sound, and says itself when to come back.
+                // The upstream is healthy; it advertises itself when it accepts requests again.
                 AttemptError::HeldBack | AttemptError::BackingOff(_) => return,
-                // Nothing answers there: others will wait as long in vain.
+                // The engine does not answer: other requests sent there would wait as long in vain.
                 AttemptError::NotSent(_) | AttemptError::Misdirected if is_engine => {
-                    book.record_stall(&upstream.incarnation, now);
+                    monitor.record_stall(&upstream.incarnation, now);
                 }
-                _ => book.record_failure(&upstream.incarnation, now),
+                _ => monitor.record_failure(&upstream.incarnation, now),
             }
             if error.may_have_run() {
                 state.possible_runs.push(upstream.incarnation.clone());
             }
             if matches!(error, AttemptError::Refused(_)) {
-                book.lower_limit(&upstream.incarnation, upstream.slots);
+                monitor.lower_limit(&upstream.incarnation, upstream.slots);
             }
             if matches!(
                 error,
                 AttemptError::NoListener(_) | AttemptError::NotSent(_)
             ) {
-                report_quiet(front, upstream, true);
+                report_stall(front, upstream, true);
             }
         }
     }
--- a/crates/gateway/src/front/permits.rs
+++ b/crates/gateway/src/front/permits.rs
@@ -1,4 +1,4 @@
-//! Permits to send to an upstream that advertises a limit.
+//! Permits to send to an upstream that advertises a rate limit.
 
 use std::cell::RefCell;
 use std::time::Duration;
@@ -13,86 +13,88 @@
 
 use super::FrontContext;
 use super::attempt::SentRequest;
-use super::limits::{apply_quota_actions, hold_back, place_of};
+use super::limits::{apply_quota_actions, back_off, quota_target};
 
-/// The longest wait for the owner of an upstream's quota: two datagrams and a busy process on an eighth of a core. Others are
-/// sent to instead after it, so it stays well within the shortest objectives.
-const PERMIT_WAIT: Duration = Duration::from_millis(50);
-/// The longest time between a permit and the send: a connection, and a process that waits for its turn. A permit that is older
-/// was given for another moment.
-const PERMIT_TIME: Millis = Millis(500);
+/// How long to wait for the owner of an upstream's quota: two datagrams, and a busy process on an
+/// eighth of a core. After it another upstream is chosen, so it stays well within the shortest
+/// objectives.
+const PERMIT_ANSWER_TIMEOUT: Duration = Duration::from_millis(50);
+/// How long a permit is valid before the request is sent. Covers connecting, and the time until the
+/// process is scheduled. An older permit says nothing about the rate at the time of sending.
+const PERMIT_VALIDITY: Millis = Millis(500);
 
-/// What is told or asked of other VMs.
+/// A message to other entry VMs about the quota of an upstream.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum QuotaMessage {
-    /// What an upstream says of its limit, for all.
+    /// The limit that an upstream advertises, for all VMs.
     Report(LimitReport),
-    /// A question for the owner of a quota.
+    /// A question to the owner of a quota.
     Question {
-        /// The owner.
+        /// The VM that owns the quota.
         vm: String,
-        /// What it is asked.
+        /// The question.
         question: PermitQuestion,
     },
 }
 
-/// That a request may be sent to an upstream as far as its limit goes.
+/// Permission to send a request to an upstream, as far as its limit is concerned.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum SendPermit {
     /// The upstream advertised no limit.
     Free,
-    /// The owner of its quota gave a permit at this moment.
-    Given(Millis),
+    /// The owner of the quota granted a permit at this time.
+    Granted(Millis),
 }
 
 impl SendPermit {
-    /// Whether it still holds for an upstream that advertises a limit now or does not.
-    fn holds(self, is_limited: bool, now: Millis) -> bool {
+    /// Whether the permit is valid now, given whether the upstream advertises a limit.
+    fn is_valid(self, is_limited: bool, now: Millis) -> bool {
         match self {
             Self::Free => !is_limited,
-            Self::Given(at) => now.since(at) <= PERMIT_TIME,
+            Self::Granted(granted_at) => now.since(granted_at) <= PERMIT_VALIDITY,
         }
     }
 }
 
-/// Questions of this VM that wait for their answer, by number.
+/// Unanswered permit questions of this VM, by number.
 #[derive(Debug, Default)]
 pub struct PermitQueue {
-    waiting: RefCell<IndexMap<u64, oneshot::Sender<PermitVerdict>>>,
+    unanswered: RefCell<IndexMap<u64, oneshot::Sender<PermitVerdict>>>,
 }
 
 impl PermitQueue {
-    fn enter(&self, number: u64) -> oneshot::Receiver<PermitVerdict> {
+    fn insert(&self, number: u64) -> oneshot::Receiver<PermitVerdict> {
         let (sender, receiver) = oneshot::channel();
-        let mut waiting = self.waiting.borrow_mut();
-        // Callers who have left wait no more.
-        waiting.retain(|_, sender| !sender.is_closed());
-        waiting.insert(number, sender);
+        let mut unanswered = self.unanswered.borrow_mut();
+        // Drops the questions of callers that have disconnected.
+        unanswered.retain(|_, sender| !sender.is_closed());
+        unanswered.insert(number, sender);
         receiver
     }
 
-    fn leave(&self, number: u64) -> Option<oneshot::Sender<PermitVerdict>> {
-        self.waiting.borrow_mut().swap_remove(&number)
+    fn take(&self, number: u64) -> Option<oneshot::Sender<PermitVerdict>> {
+        self.unanswered.borrow_mut().swap_remove(&number)
     }
 }
 
-/// Gets a permit for one request. None where there is none for now: the upstream is held back then.
-pub async fn obtain<Dialect>(
+/// Obtains a permit for one request. Returns `None` if none is available now; the upstream then
+/// backs off.
+pub async fn obtain_permit<Dialect>(
     front: &FrontContext<Dialect>,
     request: &SentRequest,
     upstream: &RouteUpstream,
 ) -> Option<SendPermit> {
-    let claim = claim_of(request);
+    let claim = permit_claim(request);
     let now = front.now();
     let step = front
         .quota
         .borrow_mut()
-        .request_permit(now, place_of(upstream), claim);
+        .request_permit(now, quota_target(upstream), claim);
     let permit = match step {
         PermitStep::NotNeeded => return Some(SendPermit::Free),
-        PermitStep::Granted => Some(SendPermit::Given(now)),
+        PermitStep::Granted => Some(SendPermit::Granted(now)),
         PermitStep::Later(wait) => {
-            hold_back(front, &upstream.incarnation, claim.priority, wait);
+            back_off(front, &upstream.incarnation, claim.priority, wait);
             None
         }
         PermitStep::Ask { owner, question } => ask_owner(front, owner, question).await,
@@ -106,7 +108,7 @@
     permit
 }
 
-fn claim_of(request: &SentRequest) -> PermitClaim {
+fn permit_claim(request: &SentRequest) -> PermitClaim {
     let account = request.account.as_ref();
     PermitClaim {
         priority: request.priority,
@@ -121,43 +123,45 @@
 ) -> Option<SendPermit> {
     let number = question.number;
     let incarnation = question.report.incarnation.clone();
-    let asked_of = owner.clone();
-    // The owner gave it at some moment from now on; the process may be suspended before it sees the answer.
-    let asked_at = front.now();
-    let answer = front.permits.enter(number);
+    let owner_vm = owner.clone();
+    // The owner grants the permit at this time or later. The time of the answer would be too late:
+    // the process may be suspended before it reads the answer.
+    let sent_at = front.now();
+    let answer = front.permits.insert(number);
     front.send_quota(QuotaMessage::Question {
         vm: owner,
         question,
     });
-    let answer = tokio::time::timeout(PERMIT_WAIT, answer).await;
+    let answer = tokio::time::timeout(PERMIT_ANSWER_TIMEOUT, answer).await;
     match answer {
-        Ok(Ok(PermitVerdict::Granted)) => Some(SendPermit::Given(asked_at)),
+        Ok(Ok(PermitVerdict::Granted)) => Some(SendPermit::Granted(sent_at)),
         Ok(Ok(PermitVerdict::Unlimited)) => Some(SendPermit::Free),
         Ok(Ok(PermitVerdict::Later(_))) => None,
         Ok(Err(_)) | Err(_) => {
-            front.permits.leave(number);
+            front.permits.take(number);
             let event = QuotaEvent::TimedOut(number);
             let actions = front.quota.borrow_mut().handle(front.now(), event);
             apply_quota_actions(front, actions);
-            log::info!("event=permit_unanswered upstream={incarnation} owner={asked_of}");
+            log::info!("event=permit_unanswered upstream={incarnation} owner={owner_vm}");
             None
         }
     }
 }
 
-/// Takes in the owner's answer to a question of this VM.
+/// Handles the owner's answer to a question of this VM.
 pub fn deliver_permit_answer<Dialect>(front: &FrontContext<Dialect>, answer: &PermitAnswer) {
     let event = QuotaEvent::PermitAnswered(answer);
     let actions = front.quota.borrow_mut().handle(front.now(), event);
     apply_quota_actions(front, actions);
-    if let Some(waiting) = front.permits.leave(answer.number) {
-        // Nobody waits any more where its caller has left.
-        let _ = waiting.send(answer.verdict);
+    if let Some(sender) = front.permits.take(answer.number) {
+        // Fails if the caller has disconnected, so that nobody waits for the answer.
+        let _ = sender.send(answer.verdict);
     }
 }
 
-/// Whether a request may still be sent: its upstream may have advertised a limit since it was chosen, or asked to back off. Its permit
-/// stands above the limit's gate, which others may have closed meanwhile.
+/// Whether a request may be sent now: since it was chosen, its upstream may have advertised a limit
+/// or asked for backoff. A permit overrides the gate of the limit, which other requests may have
+/// closed in the meantime.
 pub fn may_send<Dialect>(
     front: &FrontContext<Dialect>,
     request: &SentRequest,
@@ -177,13 +181,13 @@
         .gates
         .state(&upstream.incarnation, request.priority, now);
     let is_closed = !matches!(gate, GateState::Open | GateState::Limited(_));
-    permit.holds(is_limited, now) && !is_closed
+    permit.is_valid(is_limited, now) && !is_closed
 }
 
 impl<Dialect> FrontContext<Dialect> {
-    /// Tells or asks other VMs.
-    pub(super) fn send_quota(&self, news: QuotaMessage) {
-        if let Err(error) = self.quota_messages.try_send(news) {
+    /// Sends a message to other VMs.
+    pub(super) fn send_quota(&self, message: QuotaMessage) {
+        if let Err(error) = self.quota_messages.try_send(message) {
             log::info!("event=notice_not_sent reason=\"{error}\"");
         }
     }
--- a/crates/gateway/src/front/plan.rs
+++ b/crates/gateway/src/front/plan.rs
@@ -9,65 +9,67 @@
 use super::FrontContext;
 use super::admit::authorize;
 use super::attempt::SentRequest;
-use super::permits::{SendPermit, obtain};
+use super::permits::{SendPermit, obtain_permit};
 use super::refusal::{
-    CallRefusal, LEAST_RETURN, RETURN_NO_UPSTREAM, RETURN_SPREAD, RETURN_STOPPING,
+    CallRefusal, MIN_RETURN_DELAY, RETURN_NO_UPSTREAM, RETURN_SPREAD, RETURN_STOPPING,
 };
 use super::standing::check_standing;
 use super::state::CallState;
 use crate::view::ClusterView;
 
-/// One part in so many of a route's objective may be spent waiting for an upstream. A refusal
-/// that comes later costs the caller its own retry in time.
-pub const WAIT_DIVISOR: u64 = 5;
+/// A request may wait for an upstream for the objective of its route divided by this number. After
+/// a later rejection the caller could not retry in time.
+pub const OBJECTIVE_WAIT_DIVISOR: u64 = 5;
 
-/// Sends that were refused unrun on top of those that may run. Each is a repeat that all entry
-/// VMs share a bound for.
+/// How many sends may be refused before the request ran, in addition to the attempts that may have
+/// run. Each counts against the retry budget that all entry VMs share.
 pub const MAX_REFUSED_SENDS: usize = 2;
 
-/// Sends in vain, where nothing reached an upstream. Each takes the time for a connection (150 ms), so together
-/// they stay within the pause of two seconds after which callers of streams leave.
-pub const MAX_VAIN_SENDS: usize = 8;
+/// How many sends may fail before the request reaches an upstream. Each takes up to the connection
+/// timeout (150 ms), so together they stay within the pause of two seconds after which callers of
+/// streams disconnect.
+pub const MAX_UNREACHED_SENDS: usize = 8;
 
-/// Where a request is sent next.
+/// The next send of a request.
 pub struct PlannedSend {
     /// The upstream.
     pub upstream: RouteUpstream,
-    /// That it takes one more request.
+    /// The permit to send to it.
     pub permit: SendPermit,
 }
 
-/// Chooses the next upstream, or says why there is none.
+/// Chooses the next upstream, waiting for one if needed. The error states why none was found.
 pub async fn plan<Dialect>(
     front: &FrontContext<Dialect>,
     request: &SentRequest,
     state: &mut CallState,
 ) -> Result<PlannedSend, CallRefusal> {
-    let wait_end = state.arrived + Millis(state.route.objective.0 / WAIT_DIVISOR);
+    let wait_until = state.arrived + Millis(state.route.objective.0 / OBJECTIVE_WAIT_DIVISOR);
     let mut changes = front.shared.view_changed.subscribe();
     loop {
         changes.mark_unchanged();
         let refusal = match plan_now(front, request, state) {
-            Ok(upstream) => match obtain(front, request, &upstream).await {
+            Ok(upstream) => match obtain_permit(front, request, &upstream).await {
                 Some(permit) => return Ok(PlannedSend { upstream, permit }),
                 None => {
-                    give_repeat_back(front, state);
-                    // It is held back now, so another one is chosen, in time for its answer to be in time.
-                    match front.now() < wait_end {
+                    refund_retry(front, state);
+                    // The upstream backs off now. Another one is chosen, unless too little time is
+                    // left for its answer.
+                    match front.now() < wait_until {
                         true => continue,
-                        false => paused(None, front.now()),
+                        false => upstreams_paused(None, front.now()),
                     }
                 }
             },
             Err(refusal) => refusal,
         };
         let now = front.now();
-        let may_wait = refusal.kind == ErrorKind::NoUpstream && now < wait_end;
+        let may_wait = refusal.kind == ErrorKind::NoUpstream && now < wait_until;
         if !may_wait {
             return Err(refusal);
         }
-        let pause = wait_end.since(now).as_duration();
-        let _ = tokio::time::timeout(pause, changes.changed()).await;
+        let timeout = wait_until.since(now).as_duration();
+        let _ = tokio::time::timeout(timeout, changes.changed()).await;
     }
 }
 
@@ -80,14 +82,15 @@
     if now >= state.deadline {
         return Err(ErrorKind::DeadlineBeforeSend.into());
     }
-    // Nobody is left to pass its answer on.
+    // The process has stopped serving, so nothing would forward the answer.
     if front.stop.has_ended() {
         return Err(CallRefusal::retry_in(
             ErrorKind::ShuttingDown,
             RETURN_STOPPING,
         ));
     }
-    // Since it was admitted its body was waited for, or an upstream: sent on this late, it could be cut.
+    // The request waited for its body or for an upstream since it was admitted. If it were sent
+    // this late, the shutdown might abort it.
     let answer_end = front.stop.answer_end(now);
     if state.sends() == 0 && answer_end.is_some_and(|end| state.deadline > end) {
         return Err(CallRefusal::retry_in(
@@ -106,24 +109,19 @@
         _ => &pool.plain,
     };
     let model = request.call.model.as_ref();
-    let when_full = || {
-        front
-            .return_delays
-            .borrow()
-            .delay_if_full(model, rand::random())
-    };
-    let refused = CallRefusal::retry_in(ErrorKind::UpstreamRefused, when_full());
-    let runs = runs_that_count(front, &view, state);
-    if let Some(reason) = spent_by(state, runs) {
-        note_not_sent_on(request, state, runs, reason);
-        return Err(refused);
+    let full_delay = || front.delays.borrow().delay_if_full(model, rand::random());
+    let refusal = CallRefusal::retry_in(ErrorKind::UpstreamRefused, full_delay());
+    let runs = uncrashed_runs(front, &view, state);
+    if let Some(reason) = exhausted_reason(state, runs) {
+        log_not_sent_on(request, state, runs, reason);
+        return Err(refusal);
     }
     let home = &front.shared.site.failure_domain;
-    let book = front.monitor.borrow();
-    let ask = UpstreamCriteria {
+    let monitor = front.monitor.borrow();
+    let criteria = UpstreamCriteria {
         home,
         tried: &state.tried,
-        idle_connections: &front.pool.idle(),
+        idle_connections: &front.pool.idle_upstreams(),
         has_begun_elsewhere: state.may_have_run(),
         priority: request.priority,
         prompt_tokens: request.call.prompt_tokens(),
@@ -131,75 +129,80 @@
         random: rand::random(),
         isolation_index,
     };
-    let chosen = match book.choose(upstreams, &ask, now) {
+    let chosen = match monitor.choose(upstreams, &criteria, now) {
         UpstreamChoice::Chosen(chosen) => chosen,
         UpstreamChoice::Full => {
             log::info!(
                 "event=no_room request={} in_flight_and_limits={}",
                 request.call.id,
-                book.describe(upstreams, now)
+                monitor.describe(upstreams, now)
             );
-            return Err(CallRefusal::retry_in(ErrorKind::Overloaded, when_full()));
+            return Err(CallRefusal::retry_in(ErrorKind::Overloaded, full_delay()));
         }
         UpstreamChoice::Closed(Some(opens_at)) => {
             log::info!(
                 "event=none_open request={} gates={}",
                 request.call.id,
-                book.describe_gates(upstreams, request.priority, now)
+                monitor.describe_gates(upstreams, request.priority, now)
             );
-            return Err(paused(Some(opens_at), now));
+            return Err(upstreams_paused(Some(opens_at), now));
         }
         UpstreamChoice::Closed(None) => return Err(no_upstream),
         UpstreamChoice::None if state.tried.is_empty() => return Err(no_upstream),
         UpstreamChoice::None => {
-            note_not_sent_on(request, state, runs, "no other upstream");
-            return Err(refused);
+            log_not_sent_on(request, state, runs, "no other upstream");
+            return Err(refusal);
         }
     };
-    // What never reached an upstream was no try of it: the next send is the first. Counted as repeats, such sends
-    // used the budget up in a failure domain that was cut off, and 332 requests were refused after one of them in
-    // seven seconds (195 VMs; counted from the logs of a day). A repeat that reaches none is given back.
+    // A send that reached no upstream is not an attempt, so the send after it is not a retry. When
+    // such sends counted as retries, they used up the budget in a partitioned failure domain, and
+    // 332 requests were rejected after one of them within seven seconds (195 VMs). A retry that
+    // reaches no upstream is refunded.
     if state.arrivals > 0 {
         let mut budget = front.budget.borrow_mut();
         budget.set_bounds(front.shared.bounds(), view.entries.len());
         if !budget.take(now, &state.service) {
-            note_not_sent_on(request, state, runs, "no repeat left");
-            return Err(refused);
+            log_not_sent_on(request, state, runs, "no repeat left");
+            return Err(refusal);
         }
         state.retry_taken_at = Some(now);
     }
     Ok(chosen.clone())
 }
 
-/// Gives a repeat back that is not sent.
-pub fn give_repeat_back<Dialect>(front: &FrontContext<Dialect>, state: &mut CallState) {
+/// Refunds a retry that was not sent or did not reach an upstream.
+pub fn refund_retry<Dialect>(front: &FrontContext<Dialect>, state: &mut CallState) {
     if let Some(taken_at) = state.retry_taken_at.take() {
         let mut budget = front.budget.borrow_mut();
         budget.give_back(taken_at, &state.service);
     }
 }
 
-/// That no upstream takes the request for now, the first one again at this moment, if that is known.
-fn paused(opens_at: Option<Millis>, now: Millis) -> CallRefusal {
-    let wait = opens_at.map_or(RETURN_NO_UPSTREAM, |at| at.since(now));
-    let spread = Millis(rand::random_range(0..=RETURN_SPREAD.0));
-    CallRefusal::retry_in(ErrorKind::UpstreamsPaused, wait.max(LEAST_RETURN) + spread)
+/// Returns the rejection for a request that no upstream accepts at present. `opens_at` is when the
+/// first one accepts requests again, if known.
+fn upstreams_paused(opens_at: Option<Millis>, now: Millis) -> CallRefusal {
+    let wait = opens_at.map_or(RETURN_NO_UPSTREAM, |opens_at| opens_at.since(now));
+    let jitter = Millis(rand::random_range(0..=RETURN_SPREAD.0));
+    CallRefusal::retry_in(
+        ErrorKind::UpstreamsPaused,
+        wait.max(MIN_RETURN_DELAY) + jitter,
+    )
 }
 
-/// Why a request has been sent often enough, if it has.
-fn spent_by(state: &CallState, runs: usize) -> Option<&'static str> {
-    let most = state.route.max_attempts as usize;
-    if runs >= most {
+/// Returns the reason why a request may not be sent again, if it has used up its sends.
+fn exhausted_reason(state: &CallState, runs: usize) -> Option<&'static str> {
+    let max_attempts = state.route.max_attempts as usize;
+    if runs >= max_attempts {
         return Some("runs");
     }
-    if state.arrivals >= most + MAX_REFUSED_SENDS {
+    if state.arrivals >= max_attempts + MAX_REFUSED_SENDS {
         return Some("sends that arrived");
     }
-    (state.vain_sends() >= MAX_VAIN_SENDS).then_some("sends in vain")
+    (state.unreached_sends() >= MAX_UNREACHED_SENDS).then_some("sends in vain")
 }
 
-/// Logs what a refusal or a stream that breaks off alone does not tell: which bound a request met.
-fn note_not_sent_on(request: &SentRequest, state: &CallState, runs: usize, reason: &str) {
+/// Logs the bound that a request met. The rejection or the broken stream does not show it.
+fn log_not_sent_on(request: &SentRequest, state: &CallState, runs: usize, reason: &str) {
     log::info!(
         "event=not_sent_on request={} reason=\"{reason}\" sends={} arrivals={} runs={runs}",
         request.call.id,
@@ -208,26 +211,28 @@
     );
 }
 
-/// Runs that count against the most upstreams that a request may be sent to: none of those that have ended. The directory
-/// names these for some seconds more; going by it alone, 21 streams in half a second were not gone on with for which a
-/// third upstream had ended (8 VMs before 54 upstreams; counted from the logs of a day).
-pub fn runs_that_count<Dialect>(
+/// Returns how many runs count against the maximum number of upstreams that a request may be sent
+/// to. Runs at crashed upstreams do not count. The directory alone does not suffice, as it lists a
+/// crashed upstream for some seconds more: 21 streams within half a second were then not resumed
+/// because the third upstream of each had crashed (8 VMs in front of 54 upstreams).
+pub fn uncrashed_runs<Dialect>(
     front: &FrontContext<Dialect>,
     view: &ClusterView,
     state: &CallState,
 ) -> usize {
     let quarantine = front.shared.quarantine.lock();
-    // One that only left the directory may run on: it leaves without a word, or is cut off from the store.
-    let is_gone = |incarnation: &UpstreamIncarnation| {
+    // An upstream that is merely no longer listed may still run: it may leave without announcing
+    // it, or be cut off from the store.
+    let is_lost = |incarnation: &UpstreamIncarnation| {
         state.disconnected.contains(incarnation) && !view.is_listed(incarnation)
     };
     let runs = state.possible_runs.iter();
-    let counted =
-        runs.filter(|incarnation| !quarantine.has_crashed(incarnation) && !is_gone(incarnation));
-    counted.count()
+    let uncrashed =
+        runs.filter(|incarnation| !quarantine.has_crashed(incarnation) && !is_lost(incarnation));
+    uncrashed.count()
 }
 
-/// Checks the caller's key once more, by the newest configuration, right before sending.
+/// Checks the caller's key again against the latest configuration, right before sending.
 pub fn check_key<Dialect>(
     front: &FrontContext<Dialect>,
     config: &ServingConfig,
@@ -240,8 +245,8 @@
     }
     if !front.shared.is_confirmed(now) {
         let kind = ErrorKind::ConfigUnconfirmed;
-        let left = state.deadline.since(now);
-        let wait = front.outage(now).return_delay(left, rand::random());
+        let time_left = state.deadline.since(now);
+        let wait = front.outage(now).return_delay(time_left, rand::random());
         return Err(CallRefusal::retry_in(kind, wait));
     }
     authorize(config, &state.route, &request.call)?;
--- a/crates/gateway/src/front/pool.rs
+++ b/crates/gateway/src/front/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams: few, kept, one request at a time.
+//! Pool of connections to upstreams. A connection is reused and carries one request at a time.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -17,32 +17,33 @@
 
 use crate::clock::BootClock;
 
-/// Time for a connection to be set up. A lost opening packet comes again after a second, by when
-/// another upstream would have answered; one that lives takes a few milliseconds.
+/// Timeout for establishing a connection. A lost SYN packet is sent again only after a second, by
+/// which time another upstream would have answered; a live upstream accepts within a few
+/// milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
-/// Time after which unacknowledged bytes end a connection: a partition is noticed by then.
+/// Timeout for unacknowledged bytes, after which the connection fails. Detects network partitions.
 const USER_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// How long an idle connection is kept where the upstream does not say.
-const DEFAULT_IDLE: Duration = Duration::from_millis(2_000);
-/// Taken off the time that an upstream keeps idle connections: it may close one on which a
-/// request is on its way.
+/// How long an idle connection is kept if the upstream advertises no idle timeout.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Subtracted from the idle timeout of an upstream, which might otherwise close a connection while
+/// a request is in transit.
 const IDLE_MARGIN: Duration = Duration::from_millis(800);
 
-/// Why there is no connection.
+/// Why a connection could not be established.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// Nothing listens there.
-    #[error("refused: {0}")]
+    /// No process listens at the address.
+    #[error("connection refused: {0}")]
     Refused(std::io::Error),
-    /// It was not set up in time, or broke at once.
-    #[error("not set up: {0}")]
+    /// The connection was not established in time, or broke at once.
+    #[error("connection not established: {0}")]
     Failed(String),
 }
 
-/// A connection in use. Dropped before its answer was read whole, it is closed, so that the
+/// A connection in use. Dropping it before the complete answer was read closes it, so that the
 /// upstream stops working on the request.
 pub struct UpstreamConnection {
-    /// Sends requests.
+    /// Sends requests on the connection.
     pub sender: http1::SendRequest<Full<Bytes>>,
     driver: JoinHandle<()>,
 }
@@ -58,15 +59,15 @@
     expires_at: Millis,
 }
 
-/// Idle connections by upstream.
+/// Idle connections, by upstream.
 pub struct ConnectionPool {
-    /// Upstreams go on closing idle connections while this VM is suspended.
+    /// A clock that includes suspensions of this VM: upstreams close idle connections meanwhile.
     clock: BootClock,
     idle: RefCell<IndexMap<UpstreamIncarnation, Vec<IdleConnection>>>,
 }
 
 impl ConnectionPool {
-    /// A pool without connections.
+    /// Creates an empty pool.
     pub fn new(clock: BootClock) -> Self {
         Self {
             clock,
@@ -74,10 +75,10 @@
         }
     }
 
-    /// An idle connection, or a new one.
+    /// Returns an idle connection, or opens a new one.
     ///
     /// # Errors
-    /// See [`ConnectError`]; nothing was sent.
+    /// See [`ConnectError`]. No part of a request was sent.
     pub async fn connect(
         &self,
         incarnation: &UpstreamIncarnation,
@@ -89,24 +90,24 @@
         }
     }
 
-    /// A new connection, whatever is idle.
+    /// Opens a new connection, even if one is idle.
     ///
     /// # Errors
-    /// See [`ConnectError`]; nothing was sent.
+    /// See [`ConnectError`]. No part of a request was sent.
     pub async fn connect_new(&self, addr: SocketAddr) -> Result<UpstreamConnection, ConnectError> {
         match tokio::time::timeout(CONNECT_TIMEOUT, open(addr)).await {
             Ok(outcome) => outcome,
-            Err(_) => Err(ConnectError::Failed("no answer in time".to_owned())),
+            Err(_) => Err(ConnectError::Failed("timed out".to_owned())),
         }
     }
 
-    /// Upstreams to which a connection is open that nobody uses.
-    pub fn idle(&self) -> Vec<UpstreamIncarnation> {
+    /// Returns the upstreams with an idle connection.
+    pub fn idle_upstreams(&self) -> Vec<UpstreamIncarnation> {
         let now = self.clock.now();
         let pool = self.idle.borrow();
         let usable = pool
             .iter()
-            .filter(|(_, idle)| idle.iter().any(|it| it.expires_at > now));
+            .filter(|(_, idle)| idle.iter().any(|connection| connection.expires_at > now));
         usable.map(|(incarnation, _)| incarnation.clone()).collect()
     }
 
@@ -114,36 +115,37 @@
         let mut pool = self.idle.borrow_mut();
         let idle = pool.get_mut(incarnation)?;
         let now = self.clock.now();
-        while let Some(last) = idle.pop() {
-            let is_usable = last.expires_at > now
-                && last.connection.sender.is_ready()
-                && !last.connection.driver.is_finished();
+        while let Some(entry) = idle.pop() {
+            let is_usable = entry.expires_at > now
+                && entry.connection.sender.is_ready()
+                && !entry.connection.driver.is_finished();
             if is_usable {
-                return Some(last.connection);
+                return Some(entry.connection);
             }
         }
         None
     }
 
-    /// Keeps a connection whose answer was read whole. `keep_alive` is the upstream's idle time in
-    /// seconds.
+    /// Returns a connection to the pool after its complete answer was read. `keep_alive` is the
+    /// upstream's idle timeout in seconds.
     pub fn give_back(
         self: &Rc<Self>,
         incarnation: &UpstreamIncarnation,
         mut connection: UpstreamConnection,
         keep_alive: Option<u64>,
     ) {
-        let idle = keep_alive.map_or(DEFAULT_IDLE, Duration::from_secs);
-        let idle = idle.saturating_sub(IDLE_MARGIN);
-        let expires_at = self.clock.now() + Millis(idle.as_millis() as u64);
+        let idle_timeout = keep_alive.map_or(DEFAULT_IDLE_TIMEOUT, Duration::from_secs);
+        let idle_timeout = idle_timeout.saturating_sub(IDLE_MARGIN);
+        let expires_at = self.clock.now() + Millis(idle_timeout.as_millis() as u64);
         let pool = Rc::clone(self);
         let incarnation = incarnation.clone();
         tokio::task::spawn_local(async move {
-            // An upstream that closes after its answer, or sent bytes beyond it, never gets ready.
+            // Fails if the upstream closes the connection after its answer, or sent bytes beyond
+            // it.
             if connection.sender.ready().await.is_err() {
                 return;
             }
-            let kept = IdleConnection {
+            let idle_connection = IdleConnection {
                 connection,
                 expires_at,
             };
@@ -151,11 +153,11 @@
                 .borrow_mut()
                 .entry(incarnation)
                 .or_default()
-                .push(kept);
+                .push(idle_connection);
         });
     }
 
-    /// Closes the connections to upstreams that are not listed any more, and those that expired.
+    /// Closes expired connections, and those to upstreams that are no longer listed.
     pub fn retain<Keep>(&self, is_listed: Keep)
     where
         Keep: Fn(&UpstreamIncarnation) -> bool,
@@ -163,7 +165,7 @@
         let now = self.clock.now();
         let mut pool = self.idle.borrow_mut();
         pool.retain(|incarnation, idle| {
-            idle.retain(|it| it.expires_at > now);
+            idle.retain(|connection| connection.expires_at > now);
             is_listed(incarnation) && !idle.is_empty()
         });
     }
@@ -176,12 +178,12 @@
             false => ConnectError::Failed(error.to_string()),
         }
     })?;
-    let failed = |error: std::io::Error| ConnectError::Failed(error.to_string());
-    stream.set_nodelay(true).map_err(failed)?;
+    let to_failed = |error: std::io::Error| ConnectError::Failed(error.to_string());
+    stream.set_nodelay(true).map_err(to_failed)?;
     let socket = SockRef::from(&stream);
     socket
         .set_tcp_user_timeout(Some(USER_TIMEOUT))
-        .map_err(failed)?;
+        .map_err(to_failed)?;
     let handshake = http1::handshake(TokioIo::new(stream)).await;
     let (sender, connection) =
         handshake.map_err(|error| ConnectError::Failed(error.to_string()))?;
--- a/crates/gateway/src/front/quiet.rs
+++ b/crates/gateway/src/front/quiet.rs
@@ -1,4 +1,4 @@
-//! When an upstream counts as standing still.
+//! Detection of stalled upstreams.
 
 use bergamot_peer::{LeaderStill, QuietNotice};
 use bergamot_routing::{DispatchedRequest, RouteUpstream, StallNotice, StallVerdict};
@@ -6,56 +6,60 @@
 
 use super::FrontContext;
 
-/// Time between two looks while a request waits at an engine: short against the time in which a leader that stands still is
-/// to be noticed, a few passes of a fast engine.
-pub const LOOK_PERIOD: Millis = Millis(40);
+/// Time between two stall checks while a request waits at an engine. Short compared with the time
+/// within which a stalled leader is to be detected, which is a few passes of a fast engine.
+pub const STALL_CHECK_PERIOD: Millis = Millis(40);
 
-/// Whether a request for this model goes on elsewhere, as nothing comes from its upstream.
-/// Tells the coordinator when that is in doubt, and the other VMs when streams there stand still.
-pub fn look_quiet<Dialect>(
+/// Whether a request for this model must continue at another upstream because its own is stalled.
+/// Informs the coordinator of a suspected stall, and the other VMs of stalled streams.
+pub fn check_stall<Dialect>(
     front: &FrontContext<Dialect>,
     upstream: &RouteUpstream,
     model: Option<&ModelName>,
-    run: DispatchedRequest,
+    dispatched: DispatchedRequest,
 ) -> bool {
     let now = front.now();
-    let mut book = front.monitor.borrow_mut();
-    let verdict = book.judge_stall(upstream, model, run, now);
+    let mut monitor = front.monitor.borrow_mut();
+    let verdict = monitor.judge_stall(upstream, model, dispatched, now);
     if verdict == StallVerdict::Sound {
         return false;
     }
     let witness = hash_bytes(front.shared.site.vm.as_str().as_bytes()) as u32;
-    let news = book.record_stall_verdict(&upstream.incarnation, verdict, witness, now);
-    let load = book.load(&upstream.incarnation);
-    drop(book);
-    if news.is_for_coordinator {
+    let recipients = monitor.record_stall_verdict(&upstream.incarnation, verdict, witness, now);
+    let load = monitor.load(&upstream.incarnation);
+    drop(monitor);
+    if recipients.is_for_coordinator {
         log::info!(
             "event=leader_silent upstream={} verdict={verdict:?} silence={} in_flight={} waited={} expected={}",
             upstream.incarnation,
             load.inactivity(now),
             load.in_flight,
-            now.since(run.sent_at),
-            run.expected_first_event,
+            now.since(dispatched.sent_at),
+            dispatched.expected_first_event,
         );
     }
-    if let Some(told) = news.for_vms {
-        tell_still(front, upstream, told);
+    if let Some(notice) = recipients.for_vms {
+        send_stall_notice(front, upstream, notice);
     }
-    let is_still = verdict == StallVerdict::Still;
-    if news.is_for_coordinator || is_still {
-        report_quiet(front, upstream, is_still);
+    let is_stalled = verdict == StallVerdict::Still;
+    if recipients.is_for_coordinator || is_stalled {
+        report_stall(front, upstream, is_stalled);
     }
-    is_still
+    is_stalled
 }
 
-/// Tells the other entry VMs that streams of a leader stand still.
-fn tell_still<Dialect>(front: &FrontContext<Dialect>, upstream: &RouteUpstream, told: StallNotice) {
-    let silence = LeaderStill {
-        leader: told.leader,
-        witness: told.witness,
+/// Sends a notice to the other entry VMs that the streams of a leader are stalled.
+fn send_stall_notice<Dialect>(
+    front: &FrontContext<Dialect>,
+    upstream: &RouteUpstream,
+    notice: StallNotice,
+) {
+    let leader_stall = LeaderStill {
+        leader: notice.leader,
+        witness: notice.witness,
         is_stalled: true,
     };
-    if let Err(error) = front.stall_notices.try_send(silence) {
+    if let Err(error) = front.stall_notices.try_send(leader_stall) {
         log::debug!(
             "event=silence_not_told upstream={} reason={error}",
             upstream.incarnation
@@ -63,9 +67,9 @@
     }
 }
 
-/// Tells the coordinator that nothing comes from an upstream, and whether its requests stand still for
-/// `is_certain`.
-pub fn report_quiet<Dialect>(
+/// Sends a notice to the coordinator that nothing is received from an upstream. `is_certain` states
+/// whether its requests are stalled; otherwise a stall is only suspected.
+pub fn report_stall<Dialect>(
     front: &FrontContext<Dialect>,
     upstream: &RouteUpstream,
     is_certain: bool,
--- a/crates/gateway/src/front/refusal.rs
+++ b/crates/gateway/src/front/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of this system's own: why a request was not served, and when to come back.
+//! Error responses of this system: why a request was rejected, and when its caller should return.
 
 use bergamot_ports::{CallerDialect, RefusalContext};
 use bergamot_routing::longest_delay;
@@ -9,29 +9,30 @@
 use super::answer::{CallerAnswer, whole_body};
 use super::state::CallState;
 
-/// When to come back where no upstream serves: about the time in which a group is repaired.
+/// Return delay if no upstream serves the request. About the time that the repair of a group takes.
 pub const RETURN_NO_UPSTREAM: Millis = Millis(600);
 
-/// When to come back with a request under which upstreams ended: nothing changes before an operator has looked, or
-/// the model has another version. Callers that come sooner are refused at once.
+/// Return delay for a quarantined request, under which upstreams crashed. Nothing changes until an
+/// operator has looked at it or the model has another version. Callers that return sooner are
+/// rejected at once.
 pub const RETURN_QUARANTINED: Millis = Millis::from_secs(600);
 
-/// The shortest time after which a caller is told to come back: what its new connection takes.
-pub const LEAST_RETURN: Millis = Millis(20);
+/// The shortest return delay. About the time that a new connection of the caller takes.
+pub const MIN_RETURN_DELAY: Millis = Millis(20);
 
-/// Drawn on top of the time until an upstream takes requests again: callers who were refused together do not come back to it in
-/// the same moment.
+/// Upper bound of the random time added until an upstream accepts requests again, so that callers
+/// that were rejected together do not return to it at the same moment.
 pub const RETURN_SPREAD: Millis = Millis(200);
 
-/// When to come back where this VM is stopping: at once, as another VM takes the request.
+/// Return delay if this VM is stopping. Short, as another VM accepts the request.
 pub const RETURN_STOPPING: Millis = Millis(50);
 
-/// Why a request is refused, and when to come back.
+/// Why a request is rejected, and when its caller should return.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct CallRefusal {
-    /// Why.
+    /// The reason.
     pub kind: ErrorKind,
-    /// When to come back.
+    /// The return delay, if the caller is asked to return.
     pub retry_after: Option<Millis>,
 }
 
@@ -45,26 +46,26 @@
 }
 
 impl CallRefusal {
-    /// The refusal that is true given what was sent.
+    /// Corrects a refusal that states that the request did not run, if it may have run.
     pub fn truthful(self, state: &CallState) -> Self {
-        let says_not_run = self.kind.response().ran == RanState::No;
-        match (state.may_have_run(), says_not_run, self.kind) {
+        let states_not_run = self.kind.response().ran == RanState::No;
+        match (state.may_have_run(), states_not_run, self.kind) {
             (true, true, ErrorKind::DeadlineBeforeSend) => ErrorKind::DeadlineAfterSend.into(),
             (true, true, _) => ErrorKind::UpstreamLost.into(),
             _ => self,
         }
     }
 
-    /// A refusal that says when to come back.
-    pub const fn retry_in(kind: ErrorKind, wait: Millis) -> Self {
+    /// Creates a refusal with a return delay.
+    pub const fn retry_in(kind: ErrorKind, delay: Millis) -> Self {
         Self {
             kind,
-            retry_after: Some(wait),
+            retry_after: Some(delay),
         }
     }
 }
 
-/// Logs and counts a refusal and makes its answer.
+/// Logs and counts a refusal, and returns the error response.
 pub fn log_refusal<Dialect>(
     front: &FrontContext<Dialect>,
     id: &RequestId,
@@ -77,10 +78,10 @@
     let now = front.now();
     let left = state.map(|state| state.deadline.since(now));
     let refusal = CallRefusal {
-        retry_after: refusal.retry_after.map(|wait| match left {
-            // Within its patience nothing changes for it.
-            Some(left) if refusal.kind != ErrorKind::Quarantined => wait.min(longest_delay(left)),
-            _ => wait,
+        retry_after: refusal.retry_after.map(|delay| match left {
+            // A quarantine outlasts the caller's deadline, so its delay is not shortened to it.
+            Some(left) if refusal.kind != ErrorKind::Quarantined => delay.min(longest_delay(left)),
+            _ => delay,
         }),
         ..refusal
     };
--- a/crates/gateway/src/front/relay.rs
+++ b/crates/gateway/src/front/relay.rs
@@ -1,4 +1,4 @@
-//! A stream of events, over several upstreams if need be.
+//! Forwards a stream of events, which may resume at another upstream.
 
 use std::rc::Rc;
 
@@ -15,16 +15,16 @@
 use super::events::{EventSplitter, StreamEvent};
 use super::open::open;
 use super::plan::plan;
-use super::quiet::{LOOK_PERIOD, look_quiet};
+use super::quiet::{STALL_CHECK_PERIOD, check_stall};
 use super::state::CallState;
 
-/// Events that wait for a slow caller at most, before the upstream is held back.
-const WAITING_EVENTS: usize = 64;
+/// Number of events buffered for a slow caller before back pressure reaches the upstream.
+const EVENT_BUFFER_SIZE: usize = 64;
 
-/// Time for events to leave before a broken answer's connection is closed.
+/// Time for buffered events to be sent before the connection of a broken answer is closed.
 const FLUSH_TIME: std::time::Duration = std::time::Duration::from_millis(5);
 
-/// What came next from an upstream's stream.
+/// The next event of an upstream's stream, or why there is none.
 enum NextEvent {
     Event(StreamEvent),
     End,
@@ -33,7 +33,7 @@
     DeadlinePassed,
 }
 
-/// Passes the events of an opened reply on, and goes on elsewhere when it breaks.
+/// Forwards the events of an opened reply. Resumes at another upstream if the stream breaks.
 pub async fn relay_events<Dialect>(
     front: Rc<FrontContext<Dialect>>,
     request: SentRequest,
@@ -43,16 +43,16 @@
 where
     Dialect: CallerDialect + 'static,
 {
-    let (sender, receiver) = mpsc::channel(WAITING_EVENTS);
+    let (sender, receiver) = mpsc::channel(EVENT_BUFFER_SIZE);
     let mut answer = CallerAnswer::new(relayed_body(receiver));
     *answer.status_mut() = reply.head.status;
     *answer.headers_mut() = front.dialect.answer_headers(&reply.head);
     let relay = EventRelay {
         last_event: request.call.resume_after,
         last_at: None,
-        delivered: 0,
-        run_events: 0,
-        run_last_at: None,
+        delivered_events: 0,
+        upstream_events: 0,
+        upstream_last_at: None,
         first: FirstEvent::default(),
         longest_gap: Millis::ZERO,
         front,
@@ -64,18 +64,20 @@
     answer
 }
 
-/// When a stream's first event came, and after what.
+/// Timing of the first event of a stream.
 #[derive(Default)]
 struct FirstEvent {
-    /// Time from the request's head.
+    /// Time from the head of the request to the event.
     after: Millis,
-    /// Upstreams that it had been sent to.
+    /// How many times the request had been sent.
     sends: usize,
-    /// Time from the request's head to the send that brought it, and from there to the event.
+    /// Time from the head of the request to the send that produced the event.
     planned: Millis,
+    /// Time from that send to the event.
     took: Millis,
-    /// Times that the connection and the answer's head took.
+    /// Time that connecting took.
     connected: Millis,
+    /// Time that the head of the answer took.
     head_took: Millis,
 }
 
@@ -86,11 +88,11 @@
     sender: mpsc::Sender<AnswerPiece>,
     last_event: Option<u64>,
     last_at: Option<Millis>,
-    delivered: u64,
-    /// Of these, the ones from the upstream that it runs at.
-    run_events: u32,
-    /// When the last one came from it.
-    run_last_at: Option<Millis>,
+    delivered_events: u64,
+    /// How many of the delivered events are from the current upstream.
+    upstream_events: u32,
+    /// When the last event from the current upstream arrived.
+    upstream_last_at: Option<Millis>,
     first: FirstEvent,
     longest_gap: Millis,
 }
@@ -102,25 +104,25 @@
     async fn run(mut self, reply: OpenReply) {
         let mut reply = reply;
         let outcome = loop {
-            let ended = self.relay_one(&mut reply).await;
-            match ended {
+            let next = self.relay_upstream(&mut reply).await;
+            match next {
                 NextEvent::End => {
-                    self.finish(reply);
+                    self.record_finished(reply);
                     break "ok";
                 }
                 NextEvent::CallerLeft => {
-                    self.note_left(&reply);
+                    self.record_caller_left(&reply);
                     break "caller_left";
                 }
                 NextEvent::DeadlinePassed => {
-                    self.note_left(&reply);
+                    self.record_caller_left(&reply);
                     break "deadline_exceeded_after_send";
                 }
                 NextEvent::Broken(cause, reason) => {
-                    self.note_broken(&reply, cause, &reason).await;
+                    self.record_broken(&reply, cause, &reason).await;
                     drop(reply);
                     match self.resume_for_caller().await {
-                        Ok(next) => reply = next,
+                        Ok(resumed) => reply = resumed,
                         Err(outcome) => break outcome,
                     }
                 }
@@ -128,15 +130,15 @@
             }
         };
         if outcome != "ok" {
-            // Events that are ready leave before the connection is closed.
+            // Buffered events are sent before the connection is closed.
             tokio::time::sleep(FLUSH_TIME).await;
             let _ = self.sender.send(Err(BrokenAnswer)).await;
         }
-        self.log_end(outcome);
+        self.log_ended(outcome);
         self.front.count_outcome(self.state.route.kind, outcome);
     }
 
-    fn log_end(&self, outcome: &str) {
+    fn log_ended(&self, outcome: &str) {
         let (route, first) = (&self.state.route, &self.first);
         log::info!(
             "event=stream_ended request={} route={} upstream={} outcome={outcome} sends={} events={} last_event={} objective={} pause_objective={} first={} first_sends={} planned={} connected={} head={} first_took={} longest_gap={} took={}",
@@ -144,7 +146,7 @@
             route.name,
             self.state.last_upstream(),
             self.state.sends(),
-            self.delivered,
+            self.delivered_events,
             self.last_event.unwrap_or_default(),
             route.objective,
             route.pause_objective.unwrap_or(route.timeout),
@@ -159,28 +161,28 @@
         );
     }
 
-    /// Passes on what one upstream sends, until it ends or breaks.
-    async fn relay_one(&mut self, reply: &mut OpenReply) -> NextEvent {
+    /// Forwards the events of one upstream until its stream ends or breaks.
+    async fn relay_upstream(&mut self, reply: &mut OpenReply) -> NextEvent {
         let mut splitter = EventSplitter::default();
-        self.run_events = 0;
-        self.run_last_at = None;
+        self.upstream_events = 0;
+        self.upstream_last_at = None;
         loop {
             let event = match self.next_event(reply, &mut splitter).await {
                 NextEvent::Event(event) => event,
-                ended => return ended,
+                outcome => return outcome,
             };
-            // After a resumption the upstream may begin with what the caller has already.
+            // After a resumption the upstream may begin with events that the caller already has.
             if event.id.is_some() && event.id <= self.last_event {
                 continue;
             }
-            if self.run_events == 0 {
-                self.note_first(reply);
+            if self.upstream_events == 0 {
+                self.record_first_event(reply);
             }
-            self.note_pause(reply);
-            self.observe(reply);
+            self.record_gap(reply);
+            self.update_metrics(reply);
             self.last_event = event.id.or(self.last_event);
-            self.delivered += 1;
-            self.run_events += 1;
+            self.delivered_events += 1;
+            self.upstream_events += 1;
             if self.sender.send(Ok(event.bytes)).await.is_err() {
                 return NextEvent::CallerLeft;
             }
@@ -194,34 +196,34 @@
                 return NextEvent::Event(event);
             }
             if splitter.is_overlong() {
-                return broken("an event is too long");
+                return broken("an event exceeds the maximum length");
             }
             let now = self.front.now();
-            let left = self.state.deadline.since(now);
-            if left == Millis::ZERO {
+            let time_left = self.state.deadline.since(now);
+            if time_left == Millis::ZERO {
                 return NextEvent::DeadlinePassed;
             }
-            let pause = left.min(LOOK_PERIOD).as_duration();
+            let timeout = time_left.min(STALL_CHECK_PERIOD).as_duration();
             let frame = tokio::select! {
-                frame = tokio::time::timeout(pause, reply.body.frame()) => frame,
+                frame = tokio::time::timeout(timeout, reply.body.frame()) => frame,
                 () = self.sender.closed() => return NextEvent::CallerLeft,
             };
             match frame {
-                Err(_) if self.is_still(reply) => {
-                    let reason = "nothing comes from it".to_owned();
+                Err(_) if self.is_stalled(reply) => {
+                    let reason = "the upstream is stalled".to_owned();
                     return NextEvent::Broken(BreakCause::Stalled, reason);
                 }
                 Err(_) => {}
                 Ok(None) if splitter.has_partial() => {
-                    return broken("it ended within an event");
+                    return broken("the stream ended within an event");
                 }
                 Ok(None) => return NextEvent::End,
                 Ok(Some(Err(error))) => return broken(&error.to_string()),
                 Ok(Some(Ok(frame))) => {
                     let now = self.front.now();
-                    let mut book = self.front.monitor.borrow_mut();
-                    book.record_progress(&reply.upstream.incarnation, now);
-                    drop(book);
+                    let mut monitor = self.front.monitor.borrow_mut();
+                    monitor.record_progress(&reply.upstream.incarnation, now);
+                    drop(monitor);
                     if let Some(data) = frame.data_ref() {
                         reply.flight.note_begun();
                         splitter.push(data);
@@ -231,35 +233,35 @@
         }
     }
 
-    /// Whether nothing comes from an upstream any more.
-    fn is_still(&self, reply: &OpenReply) -> bool {
+    /// Whether the upstream is stalled.
+    fn is_stalled(&self, reply: &OpenReply) -> bool {
         let model = self.request.call.model.as_ref();
-        look_quiet(&self.front, &reply.upstream, model, reply.run)
+        check_stall(&self.front, &reply.upstream, model, reply.run)
     }
 
-    /// Notes the time between two events of one upstream.
-    fn note_pause(&mut self, reply: &OpenReply) {
+    /// Records the time between two events of one upstream.
+    fn record_gap(&mut self, reply: &OpenReply) {
         let now = self.front.now();
-        let last = self.run_last_at.replace(now);
-        let (Some(last), Some(model)) = (last, &self.request.call.model) else {
+        let previous = self.upstream_last_at.replace(now);
+        let (Some(previous), Some(model)) = (previous, &self.request.call.model) else {
             return;
         };
         let upstream = &reply.upstream;
-        let mut book = self.front.monitor.borrow_mut();
-        let pace = book.latencies.get_mut(model);
-        pace.record_gap(now.since(last), upstream.speed, upstream.slots);
+        let mut monitor = self.front.monitor.borrow_mut();
+        let latencies = monitor.latencies.get_mut(model);
+        latencies.record_gap(now.since(previous), upstream.speed, upstream.slots);
     }
 
-    fn note_first(&self, reply: &OpenReply) {
+    fn record_first_event(&self, reply: &OpenReply) {
         let now = self.front.now();
         let upstream = &reply.upstream;
         let objective = self.state.route.objective;
         let took = now.since(reply.run.sent_at);
-        let mut book = self.front.monitor.borrow_mut();
-        book.record_first_event(&upstream.incarnation, upstream.slots, took, objective, now);
+        let mut monitor = self.front.monitor.borrow_mut();
+        monitor.record_first_event(&upstream.incarnation, upstream.slots, took, objective, now);
         if let Some(model) = &self.request.call.model {
-            let pace = book.latencies.get_mut(model);
-            pace.record_first_event(
+            let latencies = monitor.latencies.get_mut(model);
+            latencies.record_first_event(
                 took,
                 reply.run.expected_first_event,
                 upstream.speed,
@@ -268,14 +270,14 @@
         }
     }
 
-    fn observe(&mut self, reply: &OpenReply) {
+    fn update_metrics(&mut self, reply: &OpenReply) {
         let now = self.front.now();
         let metrics = &self.front.shared.metrics;
         let kind = [self.state.route.kind.as_str()];
         match self.last_at {
-            Some(last) => {
-                self.longest_gap = self.longest_gap.max(now.since(last));
-                let gap = now.since(last).as_secs_f64();
+            Some(last_at) => {
+                self.longest_gap = self.longest_gap.max(now.since(last_at));
+                let gap = now.since(last_at).as_secs_f64();
                 metrics.event_gap.with_label_values(&kind).observe(gap);
             }
             None => {
@@ -294,26 +296,25 @@
         self.last_at = Some(now);
     }
 
-    fn finish(&self, reply: OpenReply) {
-        let id = reply.upstream.incarnation.clone();
-        self.front.monitor.borrow_mut().record_success(&id);
+    fn record_finished(&self, reply: OpenReply) {
+        let incarnation = reply.upstream.incarnation.clone();
+        self.front.monitor.borrow_mut().record_success(&incarnation);
         note_whole(&self.front, &self.request, &self.state);
         if let Some(model) = &self.request.call.model {
             let took = self.front.now().since(reply.run.sent_at);
-            self.front
-                .return_delays
-                .borrow_mut()
-                .record_answer(model, took);
+            self.front.delays.borrow_mut().record_answer(model, took);
             if self.request.call.resume_after.is_none() {
                 let mut demand = self.front.demand.borrow_mut();
-                demand.record_answer(model, self.delivered);
+                demand.record_answer(model, self.delivered_events);
             }
         }
         let keep_alive = reply.facts.keep_alive;
-        self.front.pool.give_back(&id, reply.connection, keep_alive);
+        self.front
+            .pool
+            .give_back(&incarnation, reply.connection, keep_alive);
     }
 
-    async fn note_broken(&mut self, reply: &OpenReply, cause: BreakCause, reason: &str) {
+    async fn record_broken(&mut self, reply: &OpenReply, cause: BreakCause, reason: &str) {
         let now = self.front.now();
         if cause == BreakCause::Closed {
             self.state
@@ -335,30 +336,36 @@
                 .group
                 .as_ref()
                 .map_or("-", |group| group.as_str()),
-            self.delivered,
+            self.delivered_events,
             self.last_event.unwrap_or_default(),
         );
         let (request, upstream) = (&self.request, &reply.upstream);
-        note_break(&self.front, request, upstream, self.run_events, cause).await;
+        note_break(&self.front, request, upstream, self.upstream_events, cause).await;
     }
 
-    fn note_left(&self, reply: &OpenReply) {
+    fn record_caller_left(&self, reply: &OpenReply) {
         let incarnation = &reply.upstream.incarnation;
-        note_left(&self.front, &self.request, incarnation, self.run_events);
+        note_left(
+            &self.front,
+            &self.request,
+            incarnation,
+            self.upstream_events,
+        );
     }
 
-    /// Opens the rest of the stream at another upstream, for as long as its caller is there. The error is how it ended.
+    /// Resumes the stream at another upstream, unless the caller disconnects first. The error is
+    /// the outcome of the stream.
     async fn resume_for_caller(&mut self) -> Result<OpenReply, &'static str> {
         let caller = self.sender.clone();
         tokio::select! {
-            // A caller who has left is noticed before anything is sent.
+            // Checked first, so that nothing is sent for a caller that has disconnected.
             biased;
             () = caller.closed() => Err("caller_left"),
             resumed = self.resume() => resumed.ok_or("upstream_lost"),
         }
     }
 
-    /// The same without regard to the caller.
+    /// Resumes the stream at another upstream, whether or not the caller is connected.
     async fn resume(&mut self) -> Option<OpenReply> {
         if !self.state.route.is_resumable {
             return None;
@@ -389,9 +396,9 @@
                     return Some(reply);
                 }
                 Ok(reply) => {
-                    self.run_events = 0;
+                    self.upstream_events = 0;
                     let reason = reply.head.status.as_str();
-                    self.note_broken(&reply, BreakCause::Closed, reason).await;
+                    self.record_broken(&reply, BreakCause::Closed, reason).await;
                 }
                 Err(error) => log::info!(
                     "event=attempt_failed request={} print={} route={} upstream={} attempt={} outcome={} reason=\"{error}\"",
--- a/crates/gateway/src/front/server.rs
+++ b/crates/gateway/src/front/server.rs
@@ -1,4 +1,4 @@
-//! Connections of callers, readiness, and the stop.
+//! Callers' connections, readiness, and shutdown.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -22,20 +22,21 @@
 use super::call::answer;
 use super::gates::show_backing_off;
 use super::head_timer::{HeadTimer, TimedStream};
-use super::limits::show_limited;
+use super::limits::update_limited_metric;
 use super::trace::{RequestTrace, TracedAnswer};
 use crate::listen::{close_listener, next_connection};
 use crate::stop::StopControl;
 
-/// Time between two looks at idle connections and at what is not listed any more.
+/// Time between two cleanups of expired connections and of upstreams that are no longer listed.
 const SWEEP_PERIOD: Duration = Duration::from_secs(2);
-/// The smallest buffer that the library takes for a request's head, in bytes.
-const MIN_HEAD_BUFFER: usize = 8_192;
+/// The smallest buffer size that the HTTP library accepts for the head of a request.
+const MIN_HEAD_BUFFER_BYTES: usize = 8_192;
 
-/// Time for what has arrived on idle connections to be read before they are closed: the runtime may not know of it yet.
-const LATE_READ_TIME: Duration = Duration::from_millis(5);
+/// Time to read requests that have arrived on idle connections before these are closed. The runtime
+/// may not have polled the sockets yet.
+const FINAL_READ_TIME: Duration = Duration::from_millis(5);
 
-/// Takes in callers until the listener is to be closed, and then those who wait to be accepted.
+/// Accepts callers until the listener must close, and then those in its accept queue.
 pub async fn accept_callers<Dialect>(front: Rc<FrontContext<Dialect>>, listener: TcpListener)
 where
     Dialect: CallerDialect + 'static,
@@ -43,18 +44,19 @@
     let mut closing = front.stop.closing();
     loop {
         tokio::select! {
-            stream = next_connection(&listener) => take_caller(&front, stream),
+            stream = next_connection(&listener) => spawn_caller(&front, stream),
             _ = closing.wait_for(|is_closing| *is_closing) => break,
         }
     }
     for stream in close_listener(listener) {
-        take_caller(&front, stream);
+        spawn_caller(&front, stream);
     }
     front.stop.note_listener_closed();
 }
 
-/// Counts a connection before its task first runs, so that a stop waits for it.
-fn take_caller<Dialect>(front: &Rc<FrontContext<Dialect>>, stream: TcpStream)
+/// Spawns the task of a connection. The connection is counted before its task first runs, so that a
+/// shutdown waits for it.
+fn spawn_caller<Dialect>(front: &Rc<FrontContext<Dialect>>, stream: TcpStream)
 where
     Dialect: CallerDialect + 'static,
 {
@@ -88,30 +90,31 @@
         let front = Rc::clone(&front);
         let timer = timer.clone();
         async move {
-            let arrived = timer.arrived();
+            let head_guard = timer.record_head();
             let trace = Rc::new(RequestTrace::begin(&front.shared));
             let mut response = answer(Rc::clone(&front), request, Rc::clone(&trace)).await;
             if front.shared.is_stopping() {
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(CONNECTION, close);
             }
-            let held = TracedAnswer::new(trace, arrived);
-            Ok::<_, Infallible>(response.map(|body| HeldBody::new(body, held)))
+            let traced = TracedAnswer::new(trace, head_guard);
+            Ok::<_, Infallible>(response.map(|body| HeldBody::new(body, traced)))
         }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        // The library counts this time from the last answer, so it bounds idle connections too.
+        // The library measures this timeout from the last answer, so it applies to idle connections
+        // too.
         .header_read_timeout(limits.idle_timeout.as_duration())
-        .max_buf_size(limits.header_bytes.max(MIN_HEAD_BUFFER))
+        .max_buf_size(limits.header_bytes.max(MIN_HEAD_BUFFER_BYTES))
         .serve_connection(TokioIo::new(TimedStream::new(stream, timer.clone())), service);
-    let ended = drive(&front.stop, connection, &timer).await;
-    if let Err(error) = ended {
+    let outcome = drive(&front.stop, connection, &timer).await;
+    if let Err(error) = outcome {
         log::debug!("event=caller_connection_ended reason={error:?}");
     }
 }
 
-/// Drives a connection to its end, and closes it in time where the process stops.
+/// Drives a connection until it ends, and closes it in time if the process stops.
 async fn drive<Service>(
     stop: &StopControl,
     connection: http1::Connection<TokioIo<TimedStream>, Service>,
@@ -121,35 +124,37 @@
     Service: HttpService<Incoming, ResBody = HeldBody<TracedAnswer>>,
     Service::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    let (overdue, silent) = (timer.overdue(), timer.silent());
-    tokio::pin!(connection, overdue, silent);
+    let (head_overdue, first_byte_overdue) = (timer.head_overdue(), timer.first_byte_overdue());
+    tokio::pin!(connection, head_overdue, first_byte_overdue);
     let mut closing = stop.closing();
-    let mut is_told = false;
+    let mut is_close_requested = false;
     loop {
         tokio::select! {
-            // What has arrived is read before an order to close is looked at.
+            // Reads arrived requests before it checks whether to close.
             biased;
-            ended = connection.as_mut() => return ended,
-            () = overdue.as_mut() => return Ok(()),
-            _ = closing.wait_for(|is_closing| *is_closing), if !is_told => {
-                is_told = true;
-                // What has arrived meanwhile, as after a suspension, is read first.
+            outcome = connection.as_mut() => return outcome,
+            () = head_overdue.as_mut() => return Ok(()),
+            _ = closing.wait_for(|is_closing| *is_closing), if !is_close_requested => {
+                is_close_requested = true;
+                // Requests that have arrived in the meantime, as after a suspension, are read
+                // first.
                 tokio::select! {
                     biased;
-                    ended = connection.as_mut() => return ended,
-                    () = tokio::time::sleep(LATE_READ_TIME) => {}
+                    outcome = connection.as_mut() => return outcome,
+                    () = tokio::time::sleep(FINAL_READ_TIME) => {}
                 }
-                // One whose first request is still to come would be closed unread. The answer to that closes it.
+                // A graceful shutdown would close a new connection without reading its first
+                // request. Such a connection closes with the answer to that request.
                 if timer.has_been_used() {
                     connection.as_mut().graceful_shutdown();
                 }
             }
-            () = silent.as_mut(), if is_told => return Ok(()),
+            () = first_byte_overdue.as_mut(), if is_close_requested => return Ok(()),
         }
     }
 }
 
-/// Answers the balancer.
+/// Answers the readiness checks of the load balancer.
 pub async fn accept_ready<Dialect>(front: Rc<FrontContext<Dialect>>, listener: TcpListener)
 where
     Dialect: 'static,
@@ -175,40 +180,45 @@
     }
 }
 
-/// Whether callers should be sent here.
+/// Whether the load balancer should send callers to this VM.
 fn is_ready<Dialect>(front: &FrontContext<Dialect>) -> bool {
     let has_config = front.shared.view.load().config.is_some();
     has_config && !front.shared.is_stopping() && front.shared.is_confirmed(front.now())
 }
 
-/// Forgets what was held against a leader when its group changes.
+/// Follows changes of the groups: assigns leaders to entry VMs, and clears the failures of a leader
+/// whose group changed.
 pub async fn follow_groups<Dialect>(front: Rc<FrontContext<Dialect>>) {
     let mut changes = front.shared.view_changed.subscribe();
-    let mut known: IndexMap<UpstreamIncarnation, Option<GroupId>> = IndexMap::new();
+    let mut known_groups: IndexMap<UpstreamIncarnation, Option<GroupId>> = IndexMap::new();
     while changes.changed().await.is_ok() {
         let view = front.shared.view.load_full();
         let leaders = view
             .pools
             .values()
             .flat_map(|pool| pool.models.values().flatten());
-        let now: IndexMap<_, _> = leaders
+        let current_groups: IndexMap<_, _> = leaders
             .map(|leader| (leader.incarnation.clone(), leader.group.clone()))
             .collect();
-        let mut book = front.monitor.borrow_mut();
+        let mut monitor = front.monitor.borrow_mut();
         let vms: Vec<&str> = view.entries.keys().map(String::as_str).collect();
         let leaders = view.pools.values();
         let leaders = leaders.flat_map(|pool| pool.models.values().flatten());
-        book.assign_leaders(leaders, &vms, front.shared.site.vm.as_str());
-        for (incarnation, group) in &now {
-            if known.get(incarnation).is_some_and(|old| old != group) {
-                book.record_group_change(incarnation);
+        monitor.assign_leaders(leaders, &vms, front.shared.site.vm.as_str());
+        for (incarnation, group) in &current_groups {
+            if known_groups
+                .get(incarnation)
+                .is_some_and(|previous| previous != group)
+            {
+                monitor.record_group_change(incarnation);
             }
         }
-        known = now;
+        known_groups = current_groups;
     }
 }
 
-/// Closes what is not needed any more, now and then.
+/// Periodically closes expired connections, drops the state of upstreams that are no longer listed,
+/// and publishes the current demand.
 pub async fn sweep<Dialect>(front: Rc<FrontContext<Dialect>>) {
     loop {
         tokio::time::sleep(SWEEP_PERIOD).await;
@@ -218,9 +228,9 @@
         let now = front.now();
         front.monitor.borrow_mut().retain(is_listed, now);
         front.quota.borrow_mut().retain(is_listed, now);
-        show_limited(&front);
+        update_limited_metric(&front);
         show_backing_off(&front);
-        let uses = front.demand.borrow_mut().demands(front.now());
-        front.shared.demand.store(Arc::new(uses));
+        let demands = front.demand.borrow_mut().demands(front.now());
+        front.shared.demand.store(Arc::new(demands));
     }
 }
--- a/crates/gateway/src/front/standing.rs
+++ b/crates/gateway/src/front/standing.rs
@@ -1,4 +1,4 @@
-//! Whether a request may be sent, by the upstreams that ended under it.
+//! Whether a request may be sent, given the upstreams that crashed while running it.
 
 use bergamot_quarantine::RequestStanding;
 use bergamot_types::prelude::*;
@@ -8,9 +8,9 @@
 use super::refusal::{CallRefusal, RETURN_QUARANTINED};
 use super::state::CallState;
 
-/// Whether a request may be sent, for the first time or once more, and its place among the upstreams if it is to be kept
-/// apart from others there. Costs a digest of the body while anything is held against any request, and nothing
-/// otherwise.
+/// Checks whether a request may be sent, for the first time or again. Returns the number that
+/// selects its upstream if the request must be isolated from other suspected requests. Computes a
+/// digest of the body only while a crash is recorded for any request.
 pub fn check_standing<Dialect>(
     front: &FrontContext<Dialect>,
     request: &SentRequest,
@@ -24,8 +24,8 @@
     let standing = quarantine.standing(print);
     match standing {
         RequestStanding::Good => return Ok(None),
-        RequestStanding::Suspected(place) if !(place.is_alone && state.may_have_run()) => {
-            return Ok(Some(place.number));
+        RequestStanding::Suspected(isolation) if !(isolation.is_alone && state.may_have_run()) => {
+            return Ok(Some(isolation.number));
         }
         RequestStanding::Suspected(_) | RequestStanding::Quarantined => {}
     }
--- a/crates/gateway/src/front/state.rs
+++ b/crates/gateway/src/front/state.rs
@@ -1,4 +1,4 @@
-//! Where a request stands.
+//! State of a request between its head and its answer.
 
 use std::rc::Rc;
 
@@ -7,47 +7,47 @@
 
 use super::trace::RequestTrace;
 
-/// Where a request stands.
+/// State of a request between its head and its answer.
 pub struct CallState {
-    /// Its route.
+    /// The route of the request.
     pub route: Route,
-    /// The service that was drawn for it.
+    /// The service that was drawn for the request.
     pub service: ServiceName,
-    /// When its head had arrived.
+    /// When the head of the request had arrived.
     pub arrived: Millis,
-    /// When it must have its final answer.
+    /// When the final answer is due.
     pub deadline: Millis,
-    /// Runs of upstreams that it was sent to.
+    /// The upstream of each send, in order.
     pub tried: Vec<UpstreamIncarnation>,
-    /// How often it reached one, run or not.
+    /// How many sends reached an upstream, whether the request ran there or not.
     pub arrivals: usize,
-    /// Of these, where it may have run.
+    /// Of these, the upstreams at which the request may have run.
     pub possible_runs: Vec<UpstreamIncarnation>,
-    /// Of these, where the connection ended before the answer did.
+    /// Of these, the upstreams whose connection closed before the end of the answer.
     pub disconnected: Vec<UpstreamIncarnation>,
-    /// When the repeat that is being sent was taken from the budget; none for the first send.
+    /// When the retry now being sent was taken from the budget. `None` for the first send.
     pub retry_taken_at: Option<Millis>,
-    /// Follows it to the end of its answer.
+    /// Traces the request until its answer was sent.
     pub trace: Rc<RequestTrace>,
 }
 
 impl CallState {
-    /// Whether it may have run.
+    /// Whether the request may have run at an upstream.
     pub fn may_have_run(&self) -> bool {
         !self.possible_runs.is_empty()
     }
 
-    /// How often it was sent without reaching an upstream.
-    pub fn vain_sends(&self) -> usize {
+    /// Returns how many sends did not reach an upstream.
+    pub fn unreached_sends(&self) -> usize {
         self.tried.len() - self.arrivals
     }
 
-    /// Upstreams that it was sent to.
+    /// Returns how many times the request was sent.
     pub fn sends(&self) -> usize {
         self.tried.len()
     }
 
-    /// The upstream that it was last sent to.
+    /// Returns the upstream of the last send, or `-` before the first one.
     pub fn last_upstream(&self) -> &str {
         self.tried.last().map_or("-", UpstreamIncarnation::as_str)
     }
--- a/crates/gateway/src/front/trace.rs
+++ b/crates/gateway/src/front/trace.rs
@@ -1,4 +1,4 @@
-//! What is known of a request until its answer has left, for the account of a stop.
+//! Traces requests until their answers were sent, to log those that a shutdown leaves unanswered.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::rc::Rc;
@@ -10,60 +10,61 @@
 use super::head_timer::HeadGuard;
 use crate::shared::SharedState;
 
-/// Follows one request until its answer has left. While the process stops, a line says that a request was read, and
-/// another one that it ended without a whole answer: after the process is gone nothing else tells of it.
+/// Traces one request until its answer was sent. While the process stops, it logs that the request
+/// was read, and that it ended without a complete answer. Once the process has exited, there is no
+/// other record of such a request.
 pub struct RequestTrace {
     shared: Arc<SharedState>,
     arrived: Millis,
     id: OnceCell<RequestId>,
     upstream: RefCell<Option<UpstreamIncarnation>>,
-    is_whole: Cell<bool>,
+    is_complete: Cell<bool>,
 }
 
 impl RequestTrace {
-    /// Begins with the arrival of a request's head.
+    /// Begins a trace when the head of a request has arrived.
     pub fn begin(shared: &Arc<SharedState>) -> Self {
         Self {
             shared: Arc::clone(shared),
             arrived: shared.clock.now(),
             id: OnceCell::new(),
             upstream: RefCell::default(),
-            is_whole: Cell::new(false),
+            is_complete: Cell::new(false),
         }
     }
 
-    /// Notes the request's id.
+    /// Records the id of the request.
     pub fn record_id(&self, id: &RequestId) {
         if self.id.set(id.clone()).is_err() {
             return;
         }
-        if let Some(since) = self.shared.stop_age(self.arrived) {
-            log::info!("event=taken_while_stopping request={id} since_stop={since}");
+        if let Some(stop_age) = self.shared.stop_age(self.arrived) {
+            log::info!("event=taken_while_stopping request={id} since_stop={stop_age}");
         }
     }
 
-    /// Notes that it is about to be sent to an upstream.
-    pub fn note_sent(&self, upstream: &UpstreamIncarnation) {
+    /// Records the upstream that the request is about to be sent to.
+    pub fn record_upstream(&self, upstream: &UpstreamIncarnation) {
         *self.upstream.borrow_mut() = Some(upstream.clone());
     }
 
-    /// Notes that its whole answer was handed to the caller's connection.
-    pub fn note_whole(&self) {
-        self.is_whole.set(true);
+    /// Records that the complete answer was passed to the caller's connection.
+    pub fn record_complete(&self) {
+        self.is_complete.set(true);
     }
 }
 
 impl Drop for RequestTrace {
     fn drop(&mut self) {
         let now = self.shared.clock.now();
-        let Some(since) = self.shared.stop_age(now) else {
+        let Some(stop_age) = self.shared.stop_age(now) else {
             return;
         };
-        if self.is_whole.get() {
+        if self.is_complete.get() {
             return;
         }
         log::warn!(
-            "event=unanswered_while_stopping request={} upstream={} waited={} since_stop={since}",
+            "event=unanswered_while_stopping request={} upstream={} waited={} since_stop={stop_age}",
             self.id.get().map_or("-", RequestId::as_str),
             self.upstream
                 .borrow()
@@ -74,24 +75,24 @@
     }
 }
 
-/// Holds what lasts as long as an answer.
+/// Values that live as long as the answer to a request.
 pub struct TracedAnswer {
     trace: Rc<RequestTrace>,
-    _arrived: HeadGuard,
+    _head_guard: HeadGuard,
 }
 
 impl TracedAnswer {
-    /// Holds a request's trace, and the time of its head.
-    pub fn new(trace: Rc<RequestTrace>, arrived: HeadGuard) -> Self {
+    /// Takes the trace of a request, and the guard of its head.
+    pub fn new(trace: Rc<RequestTrace>, head_guard: HeadGuard) -> Self {
         Self {
             trace,
-            _arrived: arrived,
+            _head_guard: head_guard,
         }
     }
 }
 
 impl AnswerHold for TracedAnswer {
     fn note_whole(&mut self) {
-        self.trace.note_whole();
+        self.trace.record_complete();
     }
 }
