--- a/crates/gateway/tests/budget.rs
+++ b/crates/gateway/tests/budget.rs
@@ -1,4 +1,4 @@
-//! Repeats of all entry VMs together stay within the bound.
+//! Guards against retries of all entry VMs together that exceed the bound.
 
 use bergamot_gateway::budget::RepeatBudget;
 use bergamot_ports::ServingBounds;
@@ -17,12 +17,12 @@
 struct BudgetCase {
     name: &'static str,
     vms: usize,
-    /// Requests at each VM, spread over twenty seconds.
+    /// Number of requests at each VM, spread over twenty seconds.
     requests: u64,
 }
 
 #[test]
-fn no_window_has_more_repeats_than_the_bound_allows() {
+fn retries_in_any_window_stay_within_the_bound() {
     let cases = [
         BudgetCase {
             name: "an idle fleet",
@@ -49,7 +49,7 @@
     for case in cases {
         let mut budgets: Vec<RepeatBudget> =
             (0..case.vms).map(|_| RepeatBudget::new(BOUNDS)).collect();
-        let mut repeats: Vec<u64> = Vec::new();
+        let mut retries: Vec<u64> = Vec::new();
         for at in 0..20_000_u64 {
             let now = Millis(100_000 + at);
             for budget in &mut budgets {
@@ -57,112 +57,130 @@
                 if case.requests > 0 && at.is_multiple_of((20_000 / case.requests).max(1)) {
                     budget.note_request(now, &service);
                 }
-                // Every VM would like to repeat all the time.
+                // Every VM tries to retry all the time.
                 if at.is_multiple_of(10) && budget.take(now, &service) {
-                    repeats.push(at);
+                    retries.push(at);
                 }
             }
         }
-        let in_window = repeats.iter().map(|start| {
+        let window_counts = retries.iter().map(|start| {
             let inside = |at: &&u64| **at >= *start && **at < start + BOUNDS.retry_window.0;
-            repeats.iter().filter(inside).count()
+            retries.iter().filter(inside).count()
         });
-        let most = in_window.max().unwrap_or(0) as f64;
+        let max_count = window_counts.max().unwrap_or(0) as f64;
         let requests = (case.requests / 2 * case.vms as u64) as f64;
         let bound = requests * BOUNDS.retry_ratio + BOUNDS.retry_reserve;
-        assert!(most <= bound, "{}: {most} of {bound}", case.name);
-        assert!(most >= bound * 0.5, "{}: {most} of {bound}", case.name);
+        assert!(
+            max_count <= bound,
+            "{}: {max_count} retries exceed the bound of {bound}",
+            case.name
+        );
+        assert!(
+            max_count >= bound * 0.5,
+            "{}: {max_count} retries use less than half of {bound}",
+            case.name
+        );
     }
 }
 
-/// How many entry VMs are known from some moment on.
+/// Number of entry VMs that are known from a given time on.
 struct KnownCount {
-    /// Milliseconds from the start.
-    from: u64,
+    /// Time since the start in milliseconds.
+    from_ms: u64,
     vms: usize,
 }
 
-const fn known(from: u64, vms: usize) -> KnownCount {
-    KnownCount { from, vms }
+const fn known_from(from_ms: u64, vms: usize) -> KnownCount {
+    KnownCount { from_ms, vms }
 }
 
-struct LapseCase {
+struct ExpiryCase {
     name: &'static str,
-    /// Entry VMs that repeat requests, from the start on and from the middle on.
+    /// Number of entry VMs that retry requests, from the start on and from the middle on.
     serving: (usize, usize),
     counts: Vec<KnownCount>,
 }
 
+/// Guards against VMs that take a larger share of the reserve because the keys of other VMs
+/// expired, although these VMs still serve.
 #[test]
-fn keys_that_lapse_while_their_vms_serve_give_nobody_a_larger_part() {
-    const LENGTH: u64 = 60_000;
+fn expired_keys_of_serving_vms_do_not_enlarge_the_shares() {
+    const LENGTH_MS: u64 = 60_000;
     let cases = [
-        LapseCase {
-            name: "no key is known in the first moment",
+        ExpiryCase {
+            name: "no key is known at the start",
             serving: (8, 8),
-            counts: vec![known(0, 0), known(1_500, 8)],
+            counts: vec![known_from(0, 0), known_from(1_500, 8)],
         },
-        LapseCase {
-            name: "all keys lapse in an outage and are written anew",
+        ExpiryCase {
+            name: "all keys expire in an outage and are written again",
             serving: (8, 8),
-            counts: vec![known(0, 8), known(30_000, 0), known(37_000, 8)],
+            counts: vec![
+                known_from(0, 8),
+                known_from(30_000, 0),
+                known_from(37_000, 8),
+            ],
         },
-        LapseCase {
-            name: "each VM knows of its own new key first",
+        ExpiryCase {
+            name: "each VM learns of its own new key first",
             serving: (8, 8),
             counts: vec![
-                known(0, 8),
-                known(30_000, 1),
-                known(33_000, 3),
-                known(36_000, 8),
+                known_from(0, 8),
+                known_from(30_000, 1),
+                known_from(33_000, 3),
+                known_from(36_000, 8),
             ],
         },
-        LapseCase {
+        ExpiryCase {
             name: "half of the VMs leave for good",
             serving: (8, 4),
-            counts: vec![known(0, 8), known(30_000, 4)],
+            counts: vec![known_from(0, 8), known_from(30_000, 4)],
         },
     ];
     let service = ServiceName::new("s");
-    let mut broken: Vec<String> = Vec::new();
+    let mut failures: Vec<String> = Vec::new();
     for case in cases {
-        let (at_first, later) = case.serving;
-        let mut budgets: Vec<RepeatBudget> =
-            (0..at_first).map(|_| RepeatBudget::new(BOUNDS)).collect();
-        let mut repeats: Vec<u64> = Vec::new();
-        for at in (0..LENGTH).step_by(10) {
-            let mut passed = case.counts.iter().filter(|count| count.from <= at);
-            let vms = passed.next_back().map_or(0, |count| count.vms);
-            if at >= LENGTH / 2 {
-                budgets.truncate(later);
+        let (vms_at_start, vms_later) = case.serving;
+        let mut budgets: Vec<RepeatBudget> = (0..vms_at_start)
+            .map(|_| RepeatBudget::new(BOUNDS))
+            .collect();
+        let mut retries: Vec<u64> = Vec::new();
+        for at in (0..LENGTH_MS).step_by(10) {
+            let mut past_counts = case.counts.iter().filter(|count| count.from_ms <= at);
+            let vms = past_counts.next_back().map_or(0, |count| count.vms);
+            if at >= LENGTH_MS / 2 {
+                budgets.truncate(vms_later);
             }
             for budget in &mut budgets {
                 budget.set_bounds(BOUNDS, vms);
                 if budget.take(Millis(100_000 + at), &service) {
-                    repeats.push(at);
+                    retries.push(at);
                 }
             }
         }
-        let in_window = |start: u64| {
+        let count_in_window = |start: u64| {
             let window = start..start + BOUNDS.retry_window.0;
-            repeats.iter().filter(|at| window.contains(at)).count() as f64
+            retries
+                .iter()
+                .filter(|sent_at| window.contains(sent_at))
+                .count() as f64
         };
-        let most = repeats.iter().map(|start| in_window(*start));
-        let most = most.fold(0.0, f64::max);
+        let max_count = retries.iter().map(|start| count_in_window(*start));
+        let max_count = max_count.fold(0.0, f64::max);
         let bound = BOUNDS.retry_reserve;
-        let last = in_window(LENGTH - BOUNDS.retry_window.0);
-        if most > bound || last < bound * 0.5 {
-            broken.push(format!(
-                "{}: {most} of {bound}, {last} at the end",
+        let last_count = count_in_window(LENGTH_MS - BOUNDS.retry_window.0);
+        if max_count > bound || last_count < bound * 0.5 {
+            failures.push(format!(
+                "{}: {max_count} retries with a bound of {bound}, {last_count} in the last window",
                 case.name
             ));
         }
     }
-    assert!(broken.is_empty(), "{broken:#?}");
+    assert!(failures.is_empty(), "{failures:#?}");
 }
 
 #[test]
-fn a_repeat_that_is_given_back_may_be_taken_again_once() {
+fn a_refunded_retry_can_be_taken_only_once() {
     let service = ServiceName::new("s");
     let mut budget = RepeatBudget::new(BOUNDS);
     budget.set_bounds(BOUNDS, 1);
@@ -172,7 +190,7 @@
         taken.count()
     };
     assert_eq!(take_all(&mut budget), 80);
-    // None was taken then.
+    // No retry was taken at this time.
     budget.give_back(Millis(99_999), &service);
     assert_eq!(take_all(&mut budget), 0);
     budget.give_back(now, &service);
--- a/crates/gateway/tests/orders.rs
+++ b/crates/gateway/tests/orders.rs
@@ -1,4 +1,5 @@
-//! Orders to upstreams that had to wait here before they could be sent.
+//! Guards against orders to upstreams that wait in this process until another coordinator may have
+//! taken over, and are then sent nevertheless.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -16,20 +17,20 @@
 use bergamot_types::prelude::*;
 use tokio::sync::Semaphore;
 
-/// A store that is not there.
-struct LostStore;
+/// A store that is unavailable.
+struct UnavailableStore;
 
-const fn lost<Answer>() -> Result<Answer, StoreError> {
+const fn unavailable<Answer>() -> Result<Answer, StoreError> {
     Err(StoreError::Refused(503))
 }
 
-impl StateStore for LostStore {
+impl StateStore for UnavailableStore {
     async fn get(&self, _key: &str) -> Result<Option<StoreItem>, StoreError> {
-        lost()
+        unavailable()
     }
 
     async fn range(&self, _prefix: &str) -> Result<StoreRange, StoreError> {
-        lost()
+        unavailable()
     }
 
     async fn watch(
@@ -38,35 +39,35 @@
         _after: u64,
         _wait: Duration,
     ) -> Result<WatchOutcome, StoreError> {
-        lost()
+        unavailable()
     }
 
     async fn commit(&self, _txn: &StoreTxn) -> Result<TxnOutcome, StoreError> {
-        lost()
+        unavailable()
     }
 
     async fn open_lease(&self, _ttl: Duration) -> Result<u64, StoreError> {
-        lost()
+        unavailable()
     }
 
     async fn renew_lease(&self, _lease: u64) -> Result<bool, StoreError> {
-        lost()
+        unavailable()
     }
 
     async fn revoke_lease(&self, _lease: u64) -> Result<(), StoreError> {
-        lost()
+        unavailable()
     }
 
     fn reset(&self) {}
 }
 
-/// Upstreams that obey, and how many orders came to them.
+/// Upstreams that begin every order, and count the orders received.
 #[derive(Default)]
-struct CountedControl {
+struct CountingControl {
     orders: Cell<usize>,
 }
 
-impl UpstreamControl for CountedControl {
+impl UpstreamControl for CountingControl {
     const REPORT_TIMEOUT: Duration = Duration::from_millis(150);
     const ORDER_TIMEOUT: Duration = Duration::from_millis(300);
 
@@ -80,7 +81,7 @@
     }
 }
 
-fn leave() -> OrderRequest {
+fn leave_order() -> OrderRequest {
     let incarnation = UpstreamIncarnation::new(UpstreamId::new("e1"), None);
     OrderRequest {
         target: UpstreamTarget {
@@ -98,44 +99,44 @@
 
 struct WaitCase {
     name: &'static str,
-    /// Time for which other calls take up all room.
-    wait: Duration,
-    /// Time for which the lease allows orders.
-    allowed: Millis,
+    /// How long other calls occupy all concurrency permits.
+    occupied_for: Duration,
+    /// How long the lease allows orders.
+    lease_time: Millis,
     outcome: OrderOutcome,
-    orders: usize,
+    sent_orders: usize,
 }
 
 #[test]
-fn an_order_is_not_sent_once_another_coordinator_may_give_orders() {
+fn an_order_is_not_sent_after_another_coordinator_may_have_taken_over() {
     let cases = [
         WaitCase {
-            name: "it need not wait",
-            wait: Duration::ZERO,
-            allowed: Millis(1_200),
+            name: "the order does not wait",
+            occupied_for: Duration::ZERO,
+            lease_time: Millis(1_200),
             outcome: OrderOutcome::Begun,
-            orders: 1,
+            sent_orders: 1,
         },
         WaitCase {
-            name: "it waits for a short time",
-            wait: Duration::from_millis(50),
-            allowed: Millis(5_000),
+            name: "the order waits for a short time",
+            occupied_for: Duration::from_millis(50),
+            lease_time: Millis(5_000),
             outcome: OrderOutcome::Begun,
-            orders: 1,
+            sent_orders: 1,
         },
         WaitCase {
-            name: "it waits for longer than the lease allows",
-            wait: Duration::from_millis(150),
-            allowed: Millis(100),
+            name: "the order waits for longer than the lease allows",
+            occupied_for: Duration::from_millis(150),
+            lease_time: Millis(100),
             outcome: OrderOutcome::Unheard,
-            orders: 0,
+            sent_orders: 0,
         },
         WaitCase {
-            name: "the process stands still between the decision and the send",
-            wait: Duration::ZERO,
-            allowed: Millis::ZERO,
+            name: "the process is paused between the decision and the send",
+            occupied_for: Duration::ZERO,
+            lease_time: Millis::ZERO,
             outcome: OrderOutcome::Unheard,
-            orders: 0,
+            sent_orders: 0,
         },
     ];
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -143,34 +144,34 @@
         .build()
         .expect("a runtime starts");
     for case in cases {
-        let control = Rc::new(CountedControl::default());
+        let control = Rc::new(CountingControl::default());
         let clock = BootClock::default();
         let window = OrderWindow {
             clock,
-            until: clock.now() + case.allowed,
+            until: clock.now() + case.lease_time,
         };
         let calls = Rc::new(Semaphore::new(1));
-        let done = runtime.block_on(async {
-            let others = Rc::clone(&calls);
-            let others = async move {
-                let _taken = others.acquire().await;
-                tokio::time::sleep(case.wait).await;
+        let completed = runtime.block_on(async {
+            let other_calls = Rc::clone(&calls);
+            let other_calls = async move {
+                let _occupied = other_calls.acquire().await;
+                tokio::time::sleep(case.occupied_for).await;
             };
-            let action = GroupAction::Order(leave());
+            let action = GroupAction::Order(leave_order());
             let order = act(
-                Rc::new(LostStore),
+                Rc::new(UnavailableStore),
                 Rc::clone(&control),
                 calls,
                 window,
                 action,
             );
-            tokio::join!(biased; others, order).1
+            tokio::join!(biased; other_calls, order).1
         });
-        let DoneAction::Ordered(request, outcome) = done else {
-            panic!("{}: {done:?}", case.name);
+        let DoneAction::Ordered(request, outcome) = completed else {
+            panic!("{}: {completed:?}", case.name);
         };
-        assert_eq!(request, leave(), "{}", case.name);
+        assert_eq!(request, leave_order(), "{}", case.name);
         assert_eq!(outcome, case.outcome, "{}", case.name);
-        assert_eq!(control.orders.get(), case.orders, "{}", case.name);
+        assert_eq!(control.orders.get(), case.sent_orders, "{}", case.name);
     }
 }
--- a/crates/gateway/tests/standstill.rs
+++ b/crates/gateway/tests/standstill.rs
@@ -1,4 +1,4 @@
-//! When requests at the leader of a group may be said to stand still.
+//! Guards against treating a leader as stalled because of requests that wait in its queue.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -10,35 +10,41 @@
 
 #[test]
 fn a_request_that_only_waits_says_nothing_about_its_group() {
-    let place = PeerDescriptor {
+    let descriptor = PeerDescriptor {
         vm: "vm-1".to_owned(),
         failure_domain: FailureDomain::new("east"),
         millicores: 250,
     };
-    let book = Rc::new(RefCell::new(UpstreamMonitor::new(place)));
+    let monitor = Rc::new(RefCell::new(UpstreamMonitor::new(descriptor)));
     let leader = UpstreamIncarnation::new(UpstreamId::new("leader"), None);
-    let enter = |at| FlightGuard::enter(&book, &leader, None, 100, Millis(at));
-    let has_begun = || book.borrow().load(&leader).has_begun();
+    let enter = |sent_at| FlightGuard::enter(&monitor, &leader, None, 100, Millis(sent_at));
+    let has_begun = || monitor.borrow().load(&leader).has_begun();
 
     let mut streaming = enter(1_000);
-    assert!(!has_begun(), "it may wait behind others");
+    assert!(
+        !has_begun(),
+        "the request may wait behind others in the queue"
+    );
     streaming.note_begun();
     streaming.note_begun();
-    book.borrow_mut().record_progress(&leader, Millis(1_100));
+    monitor.borrow_mut().record_progress(&leader, Millis(1_100));
     assert!(has_begun());
 
-    // The second one waits in the leader's queue when the first has its whole answer.
-    let waiting = enter(1_200);
+    // The second request waits in the leader's queue when the first has its complete answer.
+    let queued = enter(1_200);
     assert!(has_begun());
     drop(streaming);
-    assert!(!has_begun(), "nothing is to be expected soon");
+    assert!(
+        !has_begun(),
+        "no event of a queued request is expected soon"
+    );
     assert_eq!(
-        book.borrow().load(&leader).inactivity(Millis(1_800)),
+        monitor.borrow().load(&leader).inactivity(Millis(1_800)),
         Millis(700)
     );
-    drop(waiting);
+    drop(queued);
     assert_eq!(
-        book.borrow().load(&leader).inactivity(Millis(1_800)),
+        monitor.borrow().load(&leader).inactivity(Millis(1_800)),
         Millis(0)
     );
 }
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! What several test files use.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Helpers shared by the test files.
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -7,11 +7,11 @@
 use bergamot_ports::{ServingBounds, VmSite};
 use bergamot_types::prelude::*;
 
-/// After so long a key counts no more that was not confirmed.
+/// How long callers' keys are accepted without a confirmation of the configuration.
 pub const REVOKE_TIME: Millis = Millis(5_000);
 
-/// A small VM.
-pub fn site() -> VmSite {
+/// Returns the settings of a small entry VM.
+pub fn entry_site() -> VmSite {
     let addr = SocketAddr::from(([127, 0, 0, 1], 1));
     VmSite {
         vm: VmId::new("entry-1"),
@@ -33,14 +33,14 @@
     }
 }
 
-/// Every source file below a folder.
-pub fn sources(dir: &Path, found: &mut Vec<PathBuf>) {
-    for entry in std::fs::read_dir(dir).expect("the folder is there") {
-        let path = entry.expect("it can be read").path();
+/// Collects all Rust source files below a folder.
+pub fn source_files(dir: &Path, files: &mut Vec<PathBuf>) {
+    for entry in std::fs::read_dir(dir).expect("the folder is readable") {
+        let path = entry.expect("the folder entry is readable").path();
         if path.is_dir() {
-            sources(&path, found);
-        } else if path.extension().is_some_and(|end| end == "rs") {
-            found.push(path);
+            source_files(&path, files);
+        } else if path.extension().is_some_and(|extension| extension == "rs") {
+            files.push(path);
         }
     }
 }
--- a/crates/gateway/tests/suspended.rs
+++ b/crates/gateway/tests/suspended.rs
@@ -1,4 +1,5 @@
-//! A VM that is suspended for seconds while callers, peers and the store go on.
+//! Guards against timeouts that do not count the seconds in which the VM was suspended. Callers,
+//! peers and the store keep running in that time.
 
 mod support;
 
@@ -10,27 +11,28 @@
 use bergamot_gateway::deadline::{DeadlinePassed, before};
 use bergamot_gateway::shared::SharedState;
 use bergamot_types::prelude::*;
-use support::{REVOKE_TIME, site, sources};
+use support::{REVOKE_TIME, entry_site, source_files};
 use tokio::sync::mpsc;
 
-/// Time since the machine started, in milliseconds: what the process's timers do not see while it is suspended.
-static BOOT: AtomicU64 = AtomicU64::new(70_000);
+/// Time since boot in milliseconds. Unlike the timers of the process, it includes suspensions.
+static BOOT_TIME_MS: AtomicU64 = AtomicU64::new(70_000);
 
-fn boot() -> Duration {
-    Duration::from_millis(BOOT.load(Ordering::SeqCst))
+fn boot_time() -> Duration {
+    Duration::from_millis(BOOT_TIME_MS.load(Ordering::SeqCst))
 }
 
-fn suspend(time: Millis) {
-    BOOT.fetch_add(time.0, Ordering::SeqCst);
+fn suspend(duration: Millis) {
+    BOOT_TIME_MS.fetch_add(duration.0, Ordering::SeqCst);
 }
 
-/// A key may have been taken away while the VM was suspended.
+/// A key may have been revoked while the VM was suspended. Guards against accepting it because the
+/// suspension does not count toward the age of the configuration.
 #[test]
-fn a_key_is_not_trusted_over_the_time_in_which_the_vm_was_suspended() {
-    let (quiet, _) = mpsc::channel(1);
-    let (records, _) = mpsc::channel(1);
-    let clock = BootClock::with_source(boot);
-    let shared = SharedState::with_clock(site(), quiet, records, clock);
+fn a_key_revoked_during_a_suspension_is_not_accepted() {
+    let (stall_sender, _) = mpsc::channel(1);
+    let (record_sender, _) = mpsc::channel(1);
+    let clock = BootClock::with_source(boot_time);
+    let shared = SharedState::with_clock(entry_site(), stall_sender, record_sender, clock);
     shared.note_confirmed(shared.clock.now());
     assert!(shared.is_confirmed(shared.clock.now()));
     suspend(REVOKE_TIME);
@@ -38,53 +40,65 @@
     assert_eq!(shared.config_age(shared.clock.now()), REVOKE_TIME);
 }
 
-/// Its timer would run for another five seconds.
+/// Guards against a timer that pauses during a suspension and so runs for another five seconds
+/// after the deadline.
 #[tokio::test]
-async fn a_request_is_not_held_past_its_deadline_by_a_suspension() {
-    static SLEEPER: AtomicU64 = AtomicU64::new(70_000);
-    let clock = BootClock::with_source(|| Duration::from_millis(SLEEPER.load(Ordering::SeqCst)));
+async fn a_suspension_does_not_extend_a_deadline() {
+    static OWN_BOOT_TIME_MS: AtomicU64 = AtomicU64::new(70_000);
+    let clock =
+        BootClock::with_source(|| Duration::from_millis(OWN_BOOT_TIME_MS.load(Ordering::SeqCst)));
     let deadline = clock.now() + Millis(5_000);
-    let began = std::time::Instant::now();
-    let resumed = async {
+    let started_at = std::time::Instant::now();
+    let suspended_future = async {
         tokio::time::sleep(Duration::from_millis(20)).await;
-        SLEEPER.fetch_add(5_000, Ordering::SeqCst);
+        OWN_BOOT_TIME_MS.fetch_add(5_000, Ordering::SeqCst);
         std::future::pending::<()>().await;
     };
-    assert_eq!(before(clock, deadline, resumed).await, Err(DeadlinePassed));
-    assert!(began.elapsed() < Duration::from_millis(2_500));
-    // One that has time left is waited for.
+    assert_eq!(
+        before(clock, deadline, suspended_future).await,
+        Err(DeadlinePassed)
+    );
+    assert!(started_at.elapsed() < Duration::from_millis(2_500));
+    // A future that finishes before its deadline returns its output.
     let deadline = clock.now() + Millis(5_000);
     assert_eq!(before(clock, deadline, async { 7 }).await, Ok(7));
 }
 
-/// Who may go by the clock that stands still while a VM is suspended, and why that harms nobody.
-const PACED: [(&str, &str); 5] = [
+/// The files that may use a clock that pauses while the VM is suspended, and why that is harmless.
+const ALLOWED_FILES: [(&str, &str); 5] = [
     (
         "sync/mod.rs",
-        "when to ask the store next; what it said ages by the other clock",
+        "delay until the next request to the store; the age of the data uses the boot clock",
     ),
-    ("sync/read.rs", "how long to wait for peers at the start"),
-    ("sync/peers.rs", "when to ask again after a failure"),
+    ("sync/read.rs", "how long to wait for peers at startup"),
+    ("sync/peers.rs", "delay of a retry after a failure"),
     (
         "groups.rs",
-        "when to look next; whether orders may be given goes by the other clock",
+        "delay until the next pass; the validity of the lease for orders uses the boot clock",
     ),
     (
         "front/head_timer.rs",
-        "how long a caller may take for a head: longer harms nobody else",
+        "time limit for the head of a request; a longer one affects no other caller",
     ),
 ];
 
 #[test]
-fn nothing_that_others_rely_on_goes_by_a_clock_that_stands_still() {
+fn only_listed_files_use_a_clock_that_pauses_during_a_suspension() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let mut files = Vec::new();
-    sources(&root, &mut files);
+    source_files(&root, &mut files);
     for file in files {
-        let text = std::fs::read_to_string(&file).expect("a source file");
-        let name = file.strip_prefix(&root).expect("it is below");
-        let is_paced = PACED.iter().any(|(paced, _)| Path::new(paced) == name);
-        let has_steady = text.contains("Instant");
-        assert_eq!(has_steady, is_paced, "{name:?} and its place in the table");
+        let text = std::fs::read_to_string(&file).expect("the source file is readable");
+        let name = file
+            .strip_prefix(&root)
+            .expect("the file is below the source folder");
+        let is_allowed = ALLOWED_FILES
+            .iter()
+            .any(|(allowed, _)| Path::new(allowed) == name);
+        let uses_instant = text.contains("Instant");
+        assert_eq!(
+            uses_instant, is_allowed,
+            "{name:?} must be in ALLOWED_FILES exactly if it uses Instant"
+        );
     }
 }
--- a/crates/gateway/tests/takeover.rs
+++ b/crates/gateway/tests/takeover.rs
@@ -1,7 +1,6 @@
-//! The coordinator's place and a VM that is told to stop while it takes it.
-//!
-//! What would be seen: no coordinator for up to 1.5 s after a stop that came in the first moments of a term. Cause: whether
-//! the process stops was looked at before the wait for the place, and acted on after it.
+//! Guards against a VM that becomes coordinator although it was told to stop in the meantime. There
+//! was then no coordinator for up to 1.5 s after a stop at the start of a term, because the check
+//! for a stop came before the wait for the coordinator's key instead of after it.
 
 mod support;
 
@@ -22,18 +21,18 @@
 };
 use bergamot_types::prelude::*;
 use indexmap::IndexMap;
-use support::site;
+use support::entry_site;
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 
-/// VMs that go before this one, so that it waits for 320 ms and more.
-const VMS_BEFORE: u16 = 4;
-/// Within the shortest wait.
-const WITHIN_WAIT: Duration = Duration::from_millis(20);
-/// Longer than the wait and what follows it.
-const PLAY: Duration = Duration::from_millis(1_200);
+/// Number of VMs with precedence over this one, which make it wait for at least 320 ms.
+const PRECEDING_VMS: u16 = 4;
+/// Time of the stop signal, which is within the shortest wait.
+const SIGNAL_DELAY: Duration = Duration::from_millis(20);
+/// Run time of a case. Longer than the wait and the calls after it.
+const RUN_TIME: Duration = Duration::from_millis(1_200);
 
-/// When the signal to stop comes.
+/// When the stop signal arrives.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum StopMoment {
     Never,
@@ -43,15 +42,15 @@
     Renewing,
 }
 
-/// A store that notes what it is asked, and during which call the signal comes.
-struct NotedStore {
+/// A store that records its calls, and raises the stop signal during one of them.
+struct RecordingStore {
     shared: Arc<SharedState>,
     moment: StopMoment,
     calls: RefCell<Vec<&'static str>>,
 }
 
-impl NotedStore {
-    fn note(&self, call: &'static str, moment: StopMoment) {
+impl RecordingStore {
+    fn record(&self, call: &'static str, moment: StopMoment) {
         self.calls.borrow_mut().push(call);
         if moment == self.moment {
             self.shared.begin_stop();
@@ -59,7 +58,7 @@
     }
 }
 
-impl StateStore for NotedStore {
+impl StateStore for RecordingStore {
     async fn get(&self, _key: &str) -> Result<Option<StoreItem>, StoreError> {
         Ok(None)
     }
@@ -78,32 +77,32 @@
     }
 
     async fn commit(&self, _txn: &StoreTxn) -> Result<TxnOutcome, StoreError> {
-        self.note("commit", StopMoment::Committing);
+        self.record("commit", StopMoment::Committing);
         Ok(TxnOutcome::Done(9))
     }
 
     async fn open_lease(&self, _ttl: Duration) -> Result<u64, StoreError> {
-        self.note("open", StopMoment::Opening);
+        self.record("open", StopMoment::Opening);
         Ok(7)
     }
 
     async fn renew_lease(&self, _lease: u64) -> Result<bool, StoreError> {
-        self.note("renew", StopMoment::Renewing);
+        self.record("renew", StopMoment::Renewing);
         Ok(true)
     }
 
     async fn revoke_lease(&self, _lease: u64) -> Result<(), StoreError> {
-        self.note("end", StopMoment::Never);
+        self.record("end", StopMoment::Never);
         Ok(())
     }
 
     fn reset(&self) {}
 }
 
-/// Upstreams that are out of reach.
-struct LostControl;
+/// Upstreams that are unreachable.
+struct UnreachableControl;
 
-impl UpstreamControl for LostControl {
+impl UpstreamControl for UnreachableControl {
     const REPORT_TIMEOUT: Duration = Duration::from_millis(150);
     const ORDER_TIMEOUT: Duration = Duration::from_millis(300);
 
@@ -116,8 +115,9 @@
     }
 }
 
-/// A view with a service of engines that nobody coordinates, and VMs that go before this one.
-fn vacant_view() -> ClusterView {
+/// Returns a view with a service of engines without a coordinator, and VMs with precedence over
+/// this one.
+fn view_without_coordinator() -> ClusterView {
     let engine = EngineSpec {
         slots: 8,
         models: IndexMap::new(),
@@ -136,7 +136,7 @@
         services: [(name, spec)].into(),
         ..ServingConfig::default()
     };
-    let before = (0..VMS_BEFORE).map(|number| {
+    let preceding_vms = (0..PRECEDING_VMS).map(|number| {
         let record = EntryRecord {
             vm: format!("before-{number}"),
             peer_addr: SocketAddr::from(([127, 0, 0, 1], 1)),
@@ -148,14 +148,14 @@
     ClusterView {
         config: Some(Arc::new(config)),
         revision: 3,
-        entries: before.collect(),
+        entries: preceding_vms.collect(),
         ..ClusterView::default()
     }
 }
 
 struct StopCase {
     moment: StopMoment,
-    /// What the store is asked, equal calls in a row once.
+    /// The calls of the store, without consecutive duplicates.
     calls: &'static [&'static str],
 }
 
@@ -186,15 +186,15 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime starts");
-    let mut wrong = Vec::new();
+        .expect("the runtime starts");
+    let mut failures = Vec::new();
     for case in cases {
-        let (quiet, quiets) = mpsc::channel(1);
-        let (records, _) = mpsc::channel(1);
-        let (_doubt, doubts) = mpsc::channel(1);
-        let shared = SharedState::new(site(), quiet, records);
-        shared.publish(vacant_view());
-        let store = Rc::new(NotedStore {
+        let (own_sender, own_notices) = mpsc::channel(1);
+        let (record_sender, _) = mpsc::channel(1);
+        let (_peer_sender, peer_notices) = mpsc::channel(1);
+        let shared = SharedState::new(entry_site(), own_sender, record_sender);
+        shared.publish(view_without_coordinator());
+        let store = Rc::new(RecordingStore {
             shared: Arc::clone(&shared),
             moment: case.moment,
             calls: RefCell::default(),
@@ -202,29 +202,29 @@
         runtime.block_on(async {
             let socket = UdpSocket::bind(("127.0.0.1", 0)).await;
             let socket = socket.expect("a port is free");
-            let control = Rc::new(LostControl);
+            let control = Rc::new(UnreachableControl);
             let duty = GroupsDuty::new(
                 Arc::clone(&shared),
                 Rc::clone(&store),
                 control,
-                quiets,
-                doubts,
+                own_notices,
+                peer_notices,
                 socket,
             );
             let signal = async {
-                tokio::time::sleep(WITHIN_WAIT).await;
+                tokio::time::sleep(SIGNAL_DELAY).await;
                 if case.moment == StopMoment::Waiting {
                     shared.begin_stop();
                 }
             };
-            let play = tokio::time::timeout(PLAY, duty.run());
-            let _ = tokio::join!(play, signal);
+            let run = tokio::time::timeout(RUN_TIME, duty.run());
+            let _ = tokio::join!(run, signal);
         });
         let mut calls = store.calls.take();
         calls.dedup();
         if calls != case.calls {
-            wrong.push(format!("{:?}: {calls:?}", case.moment));
+            failures.push(format!("{:?}: {calls:?}", case.moment));
         }
     }
-    assert!(wrong.is_empty(), "{wrong:#?}");
+    assert!(failures.is_empty(), "{failures:#?}");
 }
