--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -68,7 +68,7 @@
 use crate::shared::SharedState;
 use crate::stop::StopControl;
 use budget::RepeatBudget;
-use permits::{PermitQueue, QuotaMessage};
+use permits::{PendingPermits, QuotaMessage};
 use pool::ConnectionPool;
 
 /// State that all requests share. It is confined to one thread.
@@ -90,7 +90,7 @@
     /// Limits that upstreams advertise, and the rate at which all VMs send to them.
     pub quota: RefCell<QuotaState>,
     /// Requests waiting for a permit.
-    pub permits: PermitQueue,
+    pub permits: PendingPermits,
     /// The life cycle of the process.
     pub stop: Rc<StopControl>,
     /// Sends crashes that this VM observed, and the requests that ran there, to the other VMs.
@@ -125,7 +125,7 @@
             delays: RefCell::default(),
             budget: RefCell::new(budget),
             quota: RefCell::new(quota),
-            permits: PermitQueue::default(),
+            permits: PendingPermits::default(),
             stop: Rc::new(StopControl::new(Arc::clone(&shared))),
             crash_records,
             stall_notices,
--- a/crates/gateway/src/front/permits.rs
+++ b/crates/gateway/src/front/permits.rs
@@ -58,11 +58,11 @@
 
 /// Unanswered permit questions of this VM, by number.
 #[derive(Debug, Default)]
-pub struct PermitQueue {
+pub struct PendingPermits {
     unanswered: RefCell<IndexMap<u64, oneshot::Sender<PermitVerdict>>>,
 }
 
-impl PermitQueue {
+impl PendingPermits {
     fn insert(&self, number: u64) -> oneshot::Receiver<PermitVerdict> {
         let (sender, receiver) = oneshot::channel();
         let mut unanswered = self.unanswered.borrow_mut();
--- a/crates/gateway/src/front/relay.rs
+++ b/crates/gateway/src/front/relay.rs
@@ -48,8 +48,8 @@
     *answer.status_mut() = reply.head.status;
     *answer.headers_mut() = front.dialect.answer_headers(&reply.head);
     let relay = EventRelay {
-        last_event: request.call.resume_after,
-        last_at: None,
+        last_event_id: request.call.resume_after,
+        last_event_at: None,
         delivered_events: 0,
         upstream_events: 0,
         upstream_last_at: None,
@@ -68,17 +68,17 @@
 #[derive(Default)]
 struct FirstEvent {
     /// Time from the head of the request to the event.
-    after: Millis,
+    elapsed: Millis,
     /// How many times the request had been sent.
     sends: usize,
     /// Time from the head of the request to the send that produced the event.
-    planned: Millis,
+    plan_time: Millis,
     /// Time from that send to the event.
-    took: Millis,
+    event_time: Millis,
     /// Time that connecting took.
-    connected: Millis,
+    connect_time: Millis,
     /// Time that the head of the answer took.
-    head_took: Millis,
+    head_time: Millis,
 }
 
 struct EventRelay<Dialect> {
@@ -86,8 +86,8 @@
     request: SentRequest,
     state: CallState,
     sender: mpsc::Sender<AnswerPiece>,
-    last_event: Option<u64>,
-    last_at: Option<Millis>,
+    last_event_id: Option<u64>,
+    last_event_at: Option<Millis>,
     delivered_events: u64,
     /// How many of the delivered events are from the current upstream.
     upstream_events: u32,
@@ -147,15 +147,15 @@
             self.state.last_upstream(),
             self.state.sends(),
             self.delivered_events,
-            self.last_event.unwrap_or_default(),
+            self.last_event_id.unwrap_or_default(),
             route.objective,
             route.pause_objective.unwrap_or(route.timeout),
-            first.after,
+            first.elapsed,
             first.sends,
-            first.planned,
-            first.connected,
-            first.head_took,
-            first.took,
+            first.plan_time,
+            first.connect_time,
+            first.head_time,
+            first.event_time,
             self.longest_gap,
             self.front.now().since(self.state.arrived),
         );
@@ -172,7 +172,7 @@
                 outcome => return outcome,
             };
             // After a resumption the upstream may begin with events that the caller already has.
-            if event.id.is_some() && event.id <= self.last_event {
+            if event.id.is_some() && event.id <= self.last_event_id {
                 continue;
             }
             if self.upstream_events == 0 {
@@ -180,7 +180,7 @@
             }
             self.record_gap(reply);
             self.update_metrics(reply);
-            self.last_event = event.id.or(self.last_event);
+            self.last_event_id = event.id.or(self.last_event_id);
             self.delivered_events += 1;
             self.upstream_events += 1;
             if self.sender.send(Ok(event.bytes)).await.is_err() {
@@ -274,26 +274,26 @@
         let now = self.front.now();
         let metrics = &self.front.shared.metrics;
         let kind = [self.state.route.kind.as_str()];
-        match self.last_at {
-            Some(last_at) => {
-                self.longest_gap = self.longest_gap.max(now.since(last_at));
-                let gap = now.since(last_at).as_secs_f64();
+        match self.last_event_at {
+            Some(previous) => {
+                self.longest_gap = self.longest_gap.max(now.since(previous));
+                let gap = now.since(previous).as_secs_f64();
                 metrics.event_gap.with_label_values(&kind).observe(gap);
             }
             None => {
                 self.first = FirstEvent {
-                    after: now.since(self.state.arrived),
+                    elapsed: now.since(self.state.arrived),
                     sends: self.state.sends(),
-                    planned: reply.run.sent_at.since(self.state.arrived),
-                    took: now.since(reply.run.sent_at),
-                    connected: reply.connected,
-                    head_took: reply.head_took,
+                    plan_time: reply.run.sent_at.since(self.state.arrived),
+                    event_time: now.since(reply.run.sent_at),
+                    connect_time: reply.connected,
+                    head_time: reply.head_took,
                 };
-                let took = self.first.after.as_secs_f64();
+                let took = self.first.elapsed.as_secs_f64();
                 metrics.first_piece.with_label_values(&kind).observe(took);
             }
         }
-        self.last_at = Some(now);
+        self.last_event_at = Some(now);
     }
 
     fn record_finished(&self, reply: OpenReply) {
@@ -337,7 +337,7 @@
                 .as_ref()
                 .map_or("-", |group| group.as_str()),
             self.delivered_events,
-            self.last_event.unwrap_or_default(),
+            self.last_event_id.unwrap_or_default(),
         );
         let (request, upstream) = (&self.request, &reply.upstream);
         note_break(&self.front, request, upstream, self.upstream_events, cause).await;
@@ -383,7 +383,14 @@
                 }
             };
             let (front, request) = (&self.front, &self.request);
-            let opened = open(front, request, &mut self.state, &planned, self.last_event).await;
+            let opened = open(
+                front,
+                request,
+                &mut self.state,
+                &planned,
+                self.last_event_id,
+            )
+            .await;
             let upstream = &planned.upstream;
             match opened {
                 Ok(reply) if reply.head.status.is_success() => {
@@ -391,7 +398,7 @@
                         "event=stream_resumed request={} upstream={} after={}",
                         self.request.call.id,
                         upstream.incarnation,
-                        self.last_event.unwrap_or_default()
+                        self.last_event_id.unwrap_or_default()
                     );
                     return Some(reply);
                 }
