--- a/crates/gateway/src/front/admit.rs
+++ b/crates/gateway/src/front/admit.rs
@@ -80,7 +80,7 @@
         let wait = front
             .outage(arrived)
             .return_delay(time_left, rand::random());
-        return Err(CallRefusal::later(ErrorKind::NoBundle, wait));
+        return Err(CallRefusal::retry_in(ErrorKind::NoBundle, wait));
     };
     let route = config.route(&call.host, path).ok_or(ErrorKind::NotFound)?;
     let (account, granted_priority) = authorize(config, route, call)?;
@@ -92,7 +92,7 @@
     if latest_answer_end.is_some_and(|latest| arrived + timeout > latest) {
         // The process could stop before the answer is complete, which would abort it.
         let kind = ErrorKind::ShuttingDown;
-        return Err(CallRefusal::later(kind, RETURN_STOPPING));
+        return Err(CallRefusal::retry_in(kind, RETURN_STOPPING));
     }
     Ok(AdmittedCall {
         state: CallState {
@@ -102,9 +102,9 @@
             deadline: arrived + timeout,
             tried: Vec::new(),
             arrivals: 0,
-            run_at: Vec::new(),
-            closed_at: Vec::new(),
-            repeat_taken: None,
+            possible_runs: Vec::new(),
+            disconnected: Vec::new(),
+            retry_taken_at: None,
             trace,
         },
         caller: AdmittedCaller {
--- a/crates/gateway/src/front/attempt.rs
+++ b/crates/gateway/src/front/attempt.rs
@@ -17,7 +17,7 @@
 use super::admit::AdmittedCaller;
 use super::flight::{ConnectGuard, FlightGuard};
 use super::gates::record_availability;
-use super::limits::note_limit;
+use super::limits::record_limit;
 use super::permits::{SendPermit, may_send};
 use super::pool::{ConnectError, UpstreamConnection};
 
@@ -160,13 +160,13 @@
 {
     let sent_at = run.sent_at;
     let flight = FlightGuard::enter(
-        &front.book,
+        &front.monitor,
         &upstream.incarnation,
         request.call.model.as_ref(),
         request.call.prompt_tokens(),
         sent_at,
     );
-    let connect_guard = ConnectGuard::enter(&front.book, &upstream.incarnation, sent_at);
+    let connect_guard = ConnectGuard::enter(&front.monitor, &upstream.incarnation, sent_at);
     let connection = front
         .pool
         .connect(&upstream.incarnation, upstream.addr)
@@ -175,13 +175,13 @@
     let connect_latency = front.now().since(sent_at);
     match &connection {
         Ok(_) => front
-            .book
+            .monitor
             .borrow_mut()
             .record_connected(&upstream.incarnation),
         Err(_) => {
             let now = front.now();
             front
-                .book
+                .monitor
                 .borrow_mut()
                 .record_connect_failure(&upstream.incarnation, now);
         }
@@ -224,7 +224,7 @@
     }
     // A misdirected answer comes from another upstream, so its headers do not apply to this one.
     if !facts.is_misdirected {
-        note_limit(front, upstream, &facts, sent_at + connect_latency);
+        record_limit(front, upstream, &facts, sent_at + connect_latency);
         record_availability(front, &upstream.incarnation, &facts);
     }
     let backoff = facts
--- a/crates/gateway/src/front/breaks.rs
+++ b/crates/gateway/src/front/breaks.rs
@@ -139,7 +139,7 @@
     request: &SentRequest,
     state: &CallState,
 ) {
-    let has_single_upstream = state.run_at.len() == 1 && request.call.resume_after.is_none();
+    let has_single_upstream = state.possible_runs.len() == 1 && request.call.resume_after.is_none();
     if has_single_upstream && !front.shared.quarantine.lock().is_empty() {
         handle(front, QuarantineEvent::Answered(request.print()));
     }
@@ -156,7 +156,7 @@
     let is_listed = entry.is_some_and(|entry| {
         entry.incarnation == *incarnation && entry.state != UpstreamState::Draining
     });
-    is_listed && !front.book.borrow().gates.is_leaving(incarnation)
+    is_listed && !front.monitor.borrow().gates.is_leaving(incarnation)
 }
 
 /// Checks whether anything listens at an upstream where a request was interrupted. Opens one
@@ -256,7 +256,7 @@
                 );
             }
             QuarantineAction::Share(record) => {
-                if let Err(error) = front.crash_news.try_send(record.clone()) {
+                if let Err(error) = front.crash_records.try_send(record.clone()) {
                     log::info!("event=notice_not_sent reason=\"{error}\"");
                 }
                 if let Err(error) = front.shared.records.try_send(record) {
--- a/crates/gateway/src/front/call.rs
+++ b/crates/gateway/src/front/call.rs
@@ -41,7 +41,7 @@
         Err(kind) => return refuse(&front, None, kind.into()),
     };
     let id = call.id.clone();
-    trace.note_id(&id);
+    trace.record_id(&id);
     await_config(&front, &call).await;
     let admitted = admit(&front, &call, head.uri.path(), arrived, trace);
     let limit = admitted.as_ref().map_or(0, |admitted| admitted.body_limit);
@@ -186,7 +186,7 @@
     let interrupted = |reason: String| {
         let now = front.now();
         front
-            .book
+            .monitor
             .borrow_mut()
             .record_failure(&reply.upstream.incarnation, now);
         AttemptOutcome::Failed(AttemptError::Broken(reason))
@@ -218,17 +218,17 @@
         reply.head.status.as_u16(),
         state.route.objective,
     );
-    front.count(state.route.kind, outcome);
+    front.count_outcome(state.route.kind, outcome);
     let first_piece = &front.shared.metrics.first_piece;
     let first_piece = first_piece.with_label_values(&[state.route.kind.as_str()]);
     first_piece.observe(waited.as_secs_f64());
     match is_failure {
         true => {
-            front.book.borrow_mut().record_failure(id, front.now());
+            front.monitor.borrow_mut().record_failure(id, front.now());
             AttemptOutcome::ErrorAnswer(answer)
         }
         false => {
-            front.book.borrow_mut().record_success(id);
+            front.monitor.borrow_mut().record_success(id);
             record_complete_answer(front, request, state);
             AttemptOutcome::Answered(answer)
         }
--- a/crates/gateway/src/front/ends.rs
+++ b/crates/gateway/src/front/ends.rs
@@ -54,7 +54,8 @@
     loop {
         tokio::time::sleep(REVIEW_CHECK_PERIOD).await;
         let now = front.now();
-        if front.shared.is_store_unreachable() || front.shared.config_age(now) > MAX_FRESH_VIEW_AGE {
+        if front.shared.is_store_unreachable() || front.shared.config_age(now) > MAX_FRESH_VIEW_AGE
+        {
             fresh_since = now;
         }
         let due = front
--- a/crates/gateway/src/front/exchange.rs
+++ b/crates/gateway/src/front/exchange.rs
@@ -17,8 +17,8 @@
 use tokio::sync::mpsc;
 
 use super::FrontContext;
-use super::limits::act;
-use super::permits::{QuotaNews, settle};
+use super::limits::apply_quota_actions;
+use super::permits::{QuotaMessage, deliver_permit_answer};
 use crate::view::ClusterView;
 
 /// Number of consecutive periods without requests in flight after which no more load reports are
@@ -40,7 +40,7 @@
     suspicions: mpsc::Sender<QuietNotice>,
     mut crash_records: mpsc::Receiver<QuarantineRecord>,
     mut leader_stalls: mpsc::Receiver<LeaderStill>,
-    mut quota_messages: mpsc::Receiver<QuotaNews>,
+    mut quota_messages: mpsc::Receiver<QuotaMessage>,
 ) {
     let mut report_ticks = tokio::time::interval(LOAD_REPORT_PERIOD.as_duration());
     report_ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -55,7 +55,7 @@
             _ = report_ticks.tick() => load_notices(tick(&front, &mut idle_periods)),
             Some(record) = crash_records.recv() => crash_notices(&front, &record),
             Some(stall) = leader_stalls.recv() => {
-                let hops = front.book.borrow().occupancy.origin_hops(front.now());
+                let hops = front.monitor.borrow().occupancy.origin_hops(front.now());
                 address_stall(&front, hops, stall)
             }
             Some(message) = quota_messages.recv() => quota_notices(&front, message),
@@ -64,7 +64,7 @@
                     return;
                 }
                 let view = front.shared.view.load();
-                front.book.borrow_mut().occupancy.set_peers(peer_descriptors(&view));
+                front.monitor.borrow_mut().occupancy.set_peers(peer_descriptors(&view));
                 let vms = peer_descriptors(&view).map(|peer| (peer.failure_domain, peer.vm));
                 front.quota.borrow_mut().set_vms(front.now(), vms);
                 Vec::new()
@@ -88,7 +88,7 @@
 
 fn tick<Dialect>(front: &FrontContext<Dialect>, idle_periods: &mut u32) -> Vec<OccupancyAction> {
     let now = front.now();
-    let mut book = front.book.borrow_mut();
+    let mut book = front.monitor.borrow_mut();
     let in_flight = book.in_flight();
     *idle_periods = match in_flight.is_empty() {
         true => *idle_periods + 1,
@@ -117,7 +117,7 @@
     match frame::decode(&buffer[..length]) {
         Ok(PeerNotice::Load(notice)) => {
             let now = front.now();
-            let mut book = front.book.borrow_mut();
+            let mut book = front.monitor.borrow_mut();
             let event = OccupancyEvent::Received(&notice);
             load_notices(book.occupancy.handle(now, event))
         }
@@ -128,7 +128,7 @@
             answer_permit_request(front, QuotaEvent::PermitRequested(&question))
         }
         Ok(PeerNotice::PermitAnswer(answer)) => {
-            settle(front, &answer);
+            deliver_permit_answer(front, &answer);
             Vec::new()
         }
         Ok(PeerNotice::Quiet(notice)) => {
@@ -158,7 +158,7 @@
     front: &FrontContext<Dialect>,
     record: &QuarantineRecord,
 ) -> Vec<AddressedNotice> {
-    let hops = front.book.borrow().occupancy.origin_hops(front.now());
+    let hops = front.monitor.borrow().occupancy.origin_hops(front.now());
     address_record(front, hops, record)
 }
 
@@ -171,7 +171,7 @@
     let mut quarantine = front.shared.quarantine.lock();
     quarantine.handle(now, QuarantineEvent::Reported(&notice.record));
     drop(quarantine);
-    let book = front.book.borrow();
+    let book = front.monitor.borrow();
     let hops = book.occupancy.forward_hops(&notice.vm, notice.scope);
     address_record(front, hops, &notice.record)
 }
@@ -186,7 +186,7 @@
     if !stall.is_stalled {
         return Vec::new();
     }
-    let mut book = front.book.borrow_mut();
+    let mut book = front.monitor.borrow_mut();
     let stall_notice = StallNotice {
         leader: stall.leader,
         witness: stall.witness,
@@ -201,14 +201,14 @@
 /// Returns the limit reports and permit requests that this VM sends.
 fn quota_notices<Dialect>(
     front: &FrontContext<Dialect>,
-    message: QuotaNews,
+    message: QuotaMessage,
 ) -> Vec<AddressedNotice> {
     match message {
-        QuotaNews::Report(report) => {
-            let hops = front.book.borrow().occupancy.origin_hops(front.now());
+        QuotaMessage::Report(report) => {
+            let hops = front.monitor.borrow().occupancy.origin_hops(front.now());
             address_limit(front, hops, &report)
         }
-        QuotaNews::Question { vm, question } => {
+        QuotaMessage::Question { vm, question } => {
             let notice = PeerNotice::PermitQuestion(question);
             vec![AddressedNotice { vm, notice }]
         }
@@ -222,9 +222,9 @@
 ) -> Vec<AddressedNotice> {
     let event = QuotaEvent::Reported(&notice.report);
     let actions = front.quota.borrow_mut().handle(front.now(), event);
-    act(front, actions);
+    apply_quota_actions(front, actions);
     let hops = {
-        let book = front.book.borrow();
+        let book = front.monitor.borrow();
         book.occupancy.forward_hops(&notice.vm, notice.scope)
     };
     address_limit(front, hops, &notice.report)
@@ -236,7 +236,7 @@
     event: QuotaEvent<'_>,
 ) -> Vec<AddressedNotice> {
     let actions = front.quota.borrow_mut().handle(front.now(), event);
-    let quota_actions = act(front, actions).into_iter();
+    let quota_actions = apply_quota_actions(front, actions).into_iter();
     let notices = quota_actions.filter_map(|action| match action {
         QuotaAction::Answer { vm, answer } => Some(AddressedNotice {
             vm,
--- a/crates/gateway/src/front/gates.rs
+++ b/crates/gateway/src/front/gates.rs
@@ -26,7 +26,12 @@
 
 fn record_leaving<Dialect>(front: &FrontContext<Dialect>, incarnation: &UpstreamIncarnation) {
     let now = front.now();
-    if front.book.borrow_mut().gates.mark_leaving(incarnation, now) {
+    if front
+        .monitor
+        .borrow_mut()
+        .gates
+        .mark_leaving(incarnation, now)
+    {
         log::info!("event=upstream_leaves upstream={incarnation}");
         // Requests that are aborted when the upstream stops are aborted by a planned stop, not by a
         // crash.
@@ -44,7 +49,7 @@
     }
     let now = front.now();
     let is_new = front
-        .book
+        .monitor
         .borrow_mut()
         .gates
         .back_off(incarnation, now + duration, now);
@@ -56,7 +61,7 @@
 
 /// Sets the metric for the number of upstreams that this VM backs off from.
 pub fn update_backing_off_metric<Dialect>(front: &FrontContext<Dialect>) {
-    let backing_off = front.book.borrow().gates.backing_off_count(front.now());
+    let backing_off = front.monitor.borrow().gates.backing_off_count(front.now());
     let metrics = &front.shared.metrics;
     metrics.set_state("backing_off_upstreams", backing_off as i64);
 }
