--- a/crates/platform/src/backoff.rs
+++ b/crates/platform/src/backoff.rs
@@ -1,37 +1,41 @@
-//! How long to wait after a failed call.
+//! Exponential backoff after failed calls.
 
 use std::time::Duration;
 
 use rand::Rng;
 
-/// Doubles from `first` to `most`, each wait drawn between half and the whole of it.
+/// Computes delays that double with each consecutive failure, from an initial to a maximum delay.
+/// Each delay is drawn at random between half of that value and the full value.
 #[derive(Clone, Debug)]
 pub struct RetryBackoff {
-    first: Duration,
-    most: Duration,
+    initial_delay: Duration,
+    max_delay: Duration,
     failures: u32,
 }
 
 impl RetryBackoff {
-    /// A backoff before its first failure.
-    pub fn new(first: Duration, most: Duration) -> Self {
+    /// Creates a backoff without any failures.
+    pub fn new(initial_delay: Duration, max_delay: Duration) -> Self {
         Self {
-            first,
-            most,
+            initial_delay,
+            max_delay,
             failures: 0,
         }
     }
 
-    /// Forgets the failures after a success.
+    /// Resets the failure count after a success.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// Counts a failure and draws the wait before the next call.
+    /// Counts a failure and returns the delay before the next call.
     pub fn next_wait(&mut self, random: &mut impl Rng) -> Duration {
         let factor = 1u32 << self.failures.min(16);
         self.failures = self.failures.saturating_add(1);
-        let whole = self.first.saturating_mul(factor).min(self.most);
-        whole.mul_f64(random.random_range(0.5..=1.0))
+        let full_delay = self
+            .initial_delay
+            .saturating_mul(factor)
+            .min(self.max_delay);
+        full_delay.mul_f64(random.random_range(0.5..=1.0))
     }
 }
--- a/crates/platform/src/budget.rs
+++ b/crates/platform/src/budget.rs
@@ -1,10 +1,10 @@
-//! Counts calls to the platform and refuses those over the budget.
+//! Limits the rate of calls to the platform and counts them.
 
 use bergamot_types::Millis;
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-/// What a call to the platform is for.
+/// The kind of a call to the platform.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallKind {
@@ -12,41 +12,42 @@
     Read,
     /// A transaction.
     Write,
-    /// Opening a watch.
+    /// The start of a watch.
     Watch,
-    /// Reading the VM list.
+    /// A read of the VM list.
     VmList,
 }
 
-/// A token bucket over all calls of one process.
+/// Token bucket for all calls of one process.
 #[derive(Clone, Debug)]
 pub struct CallBudget {
-    per_second: f64,
+    calls_per_second: f64,
     burst: f64,
     tokens: f64,
-    filled_at: Millis,
+    refilled_at: Millis,
     counts: IndexMap<CallKind, u64>,
     refused: u64,
 }
 
 impl CallBudget {
-    /// A full bucket of `burst` calls that refills at `per_second`.
-    pub fn new(per_second: f64, burst: f64) -> Self {
+    /// Creates a full bucket of `burst` calls that refills at `calls_per_second`.
+    pub fn new(calls_per_second: f64, burst: f64) -> Self {
         Self {
-            per_second,
+            calls_per_second,
             burst,
             tokens: burst,
-            filled_at: Millis::ZERO,
+            refilled_at: Millis::ZERO,
             counts: IndexMap::new(),
             refused: 0,
         }
     }
 
-    /// Takes one call out of the budget, or counts it as refused.
+    /// Takes one call from the budget and returns true. If the budget is used up, counts the call
+    /// as refused and returns false.
     pub fn take(&mut self, now: Millis, kind: CallKind) -> bool {
-        let earned = now.since(self.filled_at).as_secs_f64() * self.per_second;
-        self.tokens = (self.tokens + earned).min(self.burst);
-        self.filled_at = self.filled_at.max(now);
+        let refilled_tokens = now.since(self.refilled_at).as_secs_f64() * self.calls_per_second;
+        self.tokens = (self.tokens + refilled_tokens).min(self.burst);
+        self.refilled_at = self.refilled_at.max(now);
         if self.tokens < 1.0 {
             self.refused += 1;
             return false;
@@ -56,12 +57,12 @@
         true
     }
 
-    /// Calls made since the start, by kind.
+    /// Returns the number of calls made so far, by kind.
     pub fn counts(&self) -> &IndexMap<CallKind, u64> {
         &self.counts
     }
 
-    /// Calls refused since the start.
+    /// Returns the number of calls refused so far.
     pub fn refused(&self) -> u64 {
         self.refused
     }
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -1,4 +1,4 @@
-//! One HTTP call with a deadline and a bounded answer.
+//! HTTP calls with a timeout and a bounded size of the answer.
 
 use std::time::Duration;
 
@@ -10,12 +10,12 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 
-/// The largest answer that is read, in bytes.
+/// Maximum size of an answer, in bytes.
 pub const MAX_ANSWER_BYTES: usize = 8 << 20;
-/// How long an idle connection is kept.
+/// How long an idle connection stays in the pool.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Why a call gave no answer.
+/// Reasons why a call returned no usable answer.
 #[derive(Clone, Debug, thiserror::Error)]
 #[allow(missing_docs)]
 pub enum Error {
@@ -38,7 +38,7 @@
 }
 
 impl Error {
-    /// Whether the call may have taken effect although no answer came.
+    /// Whether the call may have taken effect although no usable answer was received.
     pub fn is_ambiguous(&self) -> bool {
         match self {
             Self::BudgetSpent | Self::Connect { .. } => false,
@@ -48,7 +48,7 @@
     }
 }
 
-/// An answer, read in full.
+/// An answer with its complete body.
 #[derive(Clone, Debug)]
 pub struct HttpReply {
     /// The status.
@@ -57,14 +57,14 @@
     pub body: Bytes,
 }
 
-/// A pooled HTTP/1.1 client. Clones share the pool.
+/// HTTP/1.1 client with a connection pool, which clones share.
 #[derive(Clone)]
 pub struct HttpCaller {
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
 impl HttpCaller {
-    /// A client whose connections are set up within `connect_timeout`.
+    /// Creates a client that gives up connecting after `connect_timeout`.
     pub fn new(connect_timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -76,10 +76,10 @@
         Self { client }
     }
 
-    /// Sends a request and returns the answer's head, its body still to be read.
+    /// Sends a request and returns the answer as soon as its head has arrived, with an unread body.
     ///
     /// # Errors
-    /// [`Error::Connect`] only when nothing was sent.
+    /// Returns [`Error::Connect`] only if nothing was sent.
     pub async fn open(
         &self,
         request: Request<Full<Bytes>>,
@@ -98,10 +98,10 @@
         })
     }
 
-    /// Sends a request and reads the whole answer, whatever its status.
+    /// Sends a request and reads the complete answer, regardless of its status.
     ///
     /// # Errors
-    /// See [`Error`]; the timeout covers both head and body.
+    /// See [`Error`]. The timeout covers both the head and the body of the answer.
     pub async fn call(
         &self,
         request: Request<Full<Bytes>>,
@@ -127,10 +127,11 @@
         }
     }
 
-    /// Gets a JSON document.
+    /// Requests a JSON document.
     ///
     /// # Errors
-    /// Also [`Error::Status`] for anything but 200 and [`Error::Malformed`] for other content.
+    /// Also returns [`Error::Status`] if the status is not a success, and [`Error::Malformed`] if
+    /// the body cannot be parsed.
     pub async fn get_json<Answer>(&self, url: &str, timeout: Duration) -> Result<Answer, Error>
     where
         Answer: serde::de::DeserializeOwned,
@@ -139,21 +140,21 @@
         parse(url, &self.call(request, timeout).await?)
     }
 
-    /// Posts a JSON document and reads one back.
+    /// Posts a JSON document and returns the JSON document in the answer.
     ///
     /// # Errors
-    /// As [`HttpCaller::get_json`].
-    pub async fn post_json<Question, Answer>(
+    /// See [`HttpCaller::get_json`].
+    pub async fn post_json<Document, Answer>(
         &self,
         url: &str,
-        question: &Question,
+        document: &Document,
         timeout: Duration,
     ) -> Result<Answer, Error>
     where
-        Question: serde::Serialize + Sync,
+        Document: serde::Serialize + Sync,
         Answer: serde::de::DeserializeOwned,
     {
-        let body = serde_json::to_vec(question).map_err(|error| Error::Malformed {
+        let body = serde_json::to_vec(document).map_err(|error| Error::Malformed {
             url: url.to_owned(),
             reason: error.to_string(),
         })?;
@@ -162,10 +163,10 @@
     }
 }
 
-/// Builds a JSON request.
+/// Builds a request with a JSON body.
 ///
 /// # Errors
-/// [`Error::Malformed`] when `url` is not one.
+/// Returns [`Error::Malformed`] if `url` is not a valid URL.
 pub fn build(method: Method, url: &str, body: Bytes) -> Result<Request<Full<Bytes>>, Error> {
     Request::builder()
         .method(method)
@@ -183,11 +184,11 @@
     Answer: serde::de::DeserializeOwned,
 {
     if !reply.status.is_success() {
-        let shown = &reply.body[..reply.body.len().min(200)];
+        let body_start = &reply.body[..reply.body.len().min(200)];
         return Err(Error::Status {
             url: url.to_owned(),
             status: reply.status.as_u16(),
-            body: String::from_utf8_lossy(shown).into_owned(),
+            body: String::from_utf8_lossy(body_start).into_owned(),
         });
     }
     serde_json::from_slice(&reply.body).map_err(|error| Error::Malformed {
--- a/crates/platform/src/kv.rs
+++ b/crates/platform/src/kv.rs
@@ -1,4 +1,4 @@
-//! The key-value service: reads, compare-and-swap and watches.
+//! Client for the key-value service: reads, compare-and-swap and watches.
 
 use std::time::{Duration, Instant};
 
@@ -16,95 +16,98 @@
     WatchCreate, WatchRequest, prefix_end,
 };
 
-/// The largest value the service takes, in bytes.
+/// Maximum size of a value that the service accepts, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// A key with its value and the revision that wrote it.
+/// A key with its value and the revision of its last write.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct KvEntry {
     /// The key.
     pub key: String,
     /// The value.
     pub value: Vec<u8>,
-    /// The service's revision of the last write.
+    /// The store revision of the last write.
     pub revision: i64,
 }
 
-/// What became of a compare-and-swap that was answered.
+/// Outcome of a compare-and-swap that the service answered.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum CasOutcome {
     /// The value was written at this revision.
     Won(i64),
-    /// Another write came first; this is the value now, if there is one.
+    /// The key was not at the expected revision. Holds the current entry, or none if the key is
+    /// absent.
     Lost(Option<KvEntry>),
 }
 
-/// A client of the service. Clones share pool and budget.
+/// Client for the key-value service. Clones share the connection pool and the call budget.
 #[derive(Clone)]
 pub struct KvClient {
-    base: String,
+    base_url: String,
     caller: HttpCaller,
     timeout: Duration,
-    started: Instant,
+    created_at: Instant,
     budget: Arc<Mutex<CallBudget>>,
 }
 
 impl KvClient {
-    /// A client of the service at `base`, such as `http://127.0.0.1:2379`.
-    pub fn new(base: &str, timeout: Duration, budget: CallBudget) -> Self {
+    /// Creates a client for the service at `base_url`, such as `http://127.0.0.1:2379`.
+    pub fn new(base_url: &str, timeout: Duration, budget: CallBudget) -> Self {
         Self {
-            base: base.trim_end_matches('/').to_owned(),
+            base_url: base_url.trim_end_matches('/').to_owned(),
             caller: HttpCaller::new(timeout),
             timeout,
-            started: Instant::now(),
+            created_at: Instant::now(),
             budget: Arc::new(Mutex::new(budget)),
         }
     }
 
-    /// Reads one key.
+    /// Reads one key with a single call.
     ///
     /// # Errors
-    /// See [`Error`]; one call.
+    /// See [`Error`].
     pub async fn get(&self, key: &str) -> Result<Option<KvEntry>, Error> {
         let request = RangeRequest {
             key: key.as_bytes().to_vec(),
             range_end: Vec::new(),
         };
-        Ok(self.range(&request).await?.into_iter().next())
+        Ok(self.read_range(&request).await?.into_iter().next())
     }
 
-    /// Reads every key with a prefix, in the order of the keys.
+    /// Reads all keys with a prefix, in key order, with a single call.
     ///
     /// # Errors
-    /// See [`Error`]; one call.
+    /// See [`Error`].
     pub async fn get_prefix(&self, prefix: &str) -> Result<Vec<KvEntry>, Error> {
         let request = RangeRequest {
             key: prefix.as_bytes().to_vec(),
             range_end: prefix_end(prefix),
         };
-        self.range(&request).await
+        self.read_range(&request).await
     }
 
-    async fn range(&self, request: &RangeRequest) -> Result<Vec<KvEntry>, Error> {
-        self.spend(CallKind::Read)?;
-        let url = format!("{}/v3/kv/range", self.base);
+    async fn read_range(&self, request: &RangeRequest) -> Result<Vec<KvEntry>, Error> {
+        self.spend_call(CallKind::Read)?;
+        let url = format!("{}/v3/kv/range", self.base_url);
         let response: RangeResponse = self.caller.post_json(&url, request, self.timeout).await?;
-        Ok(response.kvs.into_iter().map(entry).collect())
+        Ok(response.kvs.into_iter().map(to_entry).collect())
     }
 
-    /// Writes `value` if the key was last written at `expected`, zero meaning that it is absent.
+    /// Writes `value` if the key was last written at revision `expected`; 0 requires that the key
+    /// is absent.
     ///
     /// # Errors
-    /// When [`Error::is_ambiguous`], the write may have taken effect: read back before deciding.
+    /// If [`Error::is_ambiguous`] returns true, the write may have taken effect. The caller has to
+    /// read the key again before it acts on the result.
     pub async fn cas(&self, key: &str, expected: i64, value: &[u8]) -> Result<CasOutcome, Error> {
-        let url = format!("{}/v3/kv/txn", self.base);
+        let url = format!("{}/v3/kv/txn", self.base_url);
         if value.len() > MAX_VALUE_BYTES {
             return Err(Error::Malformed {
                 url,
                 reason: format!("the value of {key} is over 1 MiB"),
             });
         }
-        self.spend(CallKind::Write)?;
+        self.spend_call(CallKind::Write)?;
         let request = TxnRequest {
             compare: vec![Compare {
                 key: key.as_bytes().to_vec(),
@@ -125,42 +128,43 @@
         if response.succeeded {
             return Ok(CasOutcome::Won(response.header.revision));
         }
-        let current = response
+        let current_entry = response
             .responses
             .into_iter()
             .find_map(|op| op.response_range)
             .and_then(|range| range.kvs.into_iter().next())
-            .map(entry);
-        Ok(CasOutcome::Lost(current))
+            .map(to_entry);
+        Ok(CasOutcome::Lost(current_entry))
     }
 
-    /// Watches every key with a prefix, from a revision on.
+    /// Watches all keys with a prefix, starting with the changes of revision `from`. The watch
+    /// counts as one call for as long as it is open.
     ///
     /// # Errors
-    /// See [`Error`]; one call for as long as the watch waits.
+    /// See [`Error`].
     pub async fn watch(&self, prefix: &str, from: i64) -> Result<WatchStream, Error> {
-        self.spend(CallKind::Watch)?;
-        let url = format!("{}/v3/watch", self.base);
-        let question = WatchRequest {
+        self.spend_call(CallKind::Watch)?;
+        let url = format!("{}/v3/watch", self.base_url);
+        let watch_request = WatchRequest {
             create_request: WatchCreate {
                 key: prefix.as_bytes().to_vec(),
                 range_end: prefix_end(prefix),
                 start_revision: from,
             },
         };
-        let body = serde_json::to_vec(&question).unwrap_or_default();
+        let body = serde_json::to_vec(&watch_request).unwrap_or_default();
         let request = build(Method::POST, &url, Bytes::from(body))?;
         let response = self.caller.open(request, self.timeout).await?;
         Ok(WatchStream::new(url, response.into_body()))
     }
 
-    /// The calls made so far, for the dump.
+    /// Returns a copy of the call budget with its counters, for the state dump.
     pub fn budget(&self) -> CallBudget {
         self.budget.lock().clone()
     }
 
-    fn spend(&self, kind: CallKind) -> Result<(), Error> {
-        let now = Millis(self.started.elapsed().as_millis() as u64);
+    fn spend_call(&self, kind: CallKind) -> Result<(), Error> {
+        let now = Millis(self.created_at.elapsed().as_millis() as u64);
         match self.budget.lock().take(now, kind) {
             true => Ok(()),
             false => Err(Error::BudgetSpent),
@@ -168,7 +172,7 @@
     }
 }
 
-pub(crate) fn entry(kv: KeyValue) -> KvEntry {
+pub(crate) fn to_entry(kv: KeyValue) -> KvEntry {
     KvEntry {
         key: String::from_utf8_lossy(&kv.key).into_owned(),
         value: kv.value,
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,7 +1,8 @@
-//! Narrow clients for what the platform gives: the key-value service, the VM list, the weight
-//! store. The key-value service is spoken to in the JSON form of etcd v3's API.
+//! Minimal clients for the services of the platform: the key-value service, the VM list and the
+//! weight store. The client of the key-value service speaks the JSON form of the etcd v3 API.
 //!
-//! Nothing here retries or decides: callers get one attempt with a deadline, counted in a budget.
+//! The clients neither retry nor make decisions. Each call is a single attempt with a timeout;
+//! calls to the key-value service also count against a budget.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/platform/src/vm_list.rs
+++ b/crates/platform/src/vm_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of VMs. It lags behind reality.
+//! Client for the platform's list of VMs. The list lags behind the actual state of the VMs.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,49 +8,49 @@
 
 use crate::http::{Error, HttpCaller};
 
-/// What a VM is for.
+/// The role of a VM.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmKind {
-    /// Runs our daemon.
+    /// Runs the daemon of this system.
     Entry,
     /// Runs a model engine.
     Engine,
-    /// Runs one instance of the plain service of this name.
+    /// Runs one instance of the plain service with this name.
     Service(ServiceName),
 }
 
-/// Whether a VM stays.
+/// Whether a VM is scheduled for removal.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
-    /// It stays for now.
+    /// No removal is scheduled.
     Live,
-    /// It will be taken away.
+    /// The platform is going to remove the VM.
     Leaving,
 }
 
-/// One line of the list.
+/// One row of the list.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct VmFact {
-    /// The VM.
+    /// The id of the VM.
     pub vm: VmId,
-    /// What it is for.
+    /// The role of the VM.
     pub kind: VmKind,
-    /// Whether it stays.
+    /// Whether the VM is scheduled for removal.
     pub state: VmState,
-    /// Where it can be cut off.
+    /// The failure domain, whose VMs can be cut off from the others together.
     pub failure_domain: FailureDomain,
-    /// Which interconnect it is on.
+    /// The fabric domain, whose VMs share an interconnect.
     pub fabric_domain: FabricDomain,
-    /// Where its engine or service listens.
+    /// The address on which its engine or service listens.
     pub addr: SocketAddr,
-    /// Accelerators in it.
+    /// Number of accelerators in the VM.
     #[serde(default)]
     pub accelerators: u32,
 }
 
-/// A client of the list.
+/// Client for the VM list.
 #[derive(Clone)]
 pub struct VmListClient {
     url: String,
@@ -59,19 +59,19 @@
 }
 
 impl VmListClient {
-    /// A client of the list at `base`.
-    pub fn new(base: &str, timeout: Duration) -> Self {
+    /// Creates a client for the list at `base_url`.
+    pub fn new(base_url: &str, timeout: Duration) -> Self {
         Self {
-            url: format!("{}/vms", base.trim_end_matches('/')),
+            url: format!("{}/vms", base_url.trim_end_matches('/')),
             caller: HttpCaller::new(timeout),
             timeout,
         }
     }
 
-    /// Reads the whole list.
+    /// Reads the whole list with a single call.
     ///
     /// # Errors
-    /// See [`Error`]; one call.
+    /// See [`Error`].
     pub async fn list(&self) -> Result<Vec<VmFact>, Error> {
         self.caller.get_json(&self.url, self.timeout).await
     }
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -1,18 +1,18 @@
-//! A waiting watch, read one batch of changes at a time.
+//! The stream of changes that a watch receives.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 
 use crate::http::{Error, MAX_ANSWER_BYTES};
-use crate::kv::{KvEntry, entry};
+use crate::kv::{KvEntry, to_entry};
 use crate::wire::WatchMessage;
 
-/// The changes of the watched keys, as the service streams them.
+/// The changes of the watched keys, in batches as the service sends them.
 pub struct WatchStream {
     url: String,
     body: Incoming,
-    pending: BytesMut,
+    unparsed: BytesMut,
 }
 
 impl WatchStream {
@@ -20,18 +20,19 @@
         Self {
             url,
             body,
-            pending: BytesMut::new(),
+            unparsed: BytesMut::new(),
         }
     }
 
-    /// Waits for the next batch of written keys; deletions are left out.
+    /// Waits for the next batch of changes and returns the written keys. Deletions are omitted.
     ///
     /// # Errors
-    /// When the stream ends, breaks off or was cancelled: open a new watch after reading anew.
+    /// Fails if the stream ended, broke off or was cancelled. The caller has to read the range
+    /// again and open a new watch.
     pub async fn next(&mut self) -> Result<Vec<KvEntry>, Error> {
         loop {
-            let Some(line) = self.take_line() else {
-                self.fill().await?;
+            let Some(line) = self.pop_line() else {
+                self.read_frame().await?;
                 continue;
             };
             let message: WatchMessage =
@@ -48,24 +49,24 @@
             );
             let written = message.result.events.into_iter();
             let written = written.filter(|event| event.kind.as_deref() != Some("DELETE"));
-            return Ok(written.map(|event| entry(event.kv)).collect());
+            return Ok(written.map(|event| to_entry(event.kv)).collect());
         }
     }
 
-    fn take_line(&mut self) -> Option<Bytes> {
-        let end = self.pending.iter().position(|byte| *byte == b'\n')?;
-        Some(self.pending.split_to(end + 1).freeze())
+    fn pop_line(&mut self) -> Option<Bytes> {
+        let newline = self.unparsed.iter().position(|byte| *byte == b'\n')?;
+        Some(self.unparsed.split_to(newline + 1).freeze())
     }
 
-    async fn fill(&mut self) -> Result<(), Error> {
+    async fn read_frame(&mut self) -> Result<(), Error> {
         let Some(frame) = self.body.frame().await else {
             return Err(self.broken("the watch ended"));
         };
         let frame = frame.map_err(|error| self.broken(&error.to_string()))?;
         if let Ok(data) = frame.into_data() {
-            self.pending.extend_from_slice(&data);
+            self.unparsed.extend_from_slice(&data);
         }
-        if self.pending.len() > MAX_ANSWER_BYTES {
+        if self.unparsed.len() > MAX_ANSWER_BYTES {
             return Err(self.broken("a watch message is too large"));
         }
         Ok(())
--- a/crates/platform/src/weight_store.rs
+++ b/crates/platform/src/weight_store.rs
@@ -1,4 +1,5 @@
-//! The rate-limited store that engines load weights from. Only its rate matters to us.
+//! Client for the rate-limited store that engines load weights from. This system only reads its
+//! rate and load.
 
 use std::time::Duration;
 
@@ -6,16 +7,16 @@
 
 use crate::http::{Error, HttpCaller};
 
-/// What the store says of itself.
+/// The load that the store reports.
 #[derive(Clone, Copy, PartialEq, Debug, Serialize, Deserialize)]
 pub struct WeightStoreState {
-    /// Bytes per second over all loads.
+    /// Total transfer rate of all loads, in bytes per second.
     pub bytes_per_second: f64,
-    /// Loads going on.
+    /// Number of loads in progress.
     pub active_loads: u32,
 }
 
-/// A client of the store.
+/// Client for the weight store.
 #[derive(Clone)]
 pub struct WeightStoreClient {
     url: String,
@@ -24,19 +25,19 @@
 }
 
 impl WeightStoreClient {
-    /// A client of the store at `base`.
-    pub fn new(base: &str, timeout: Duration) -> Self {
+    /// Creates a client for the store at `base_url`.
+    pub fn new(base_url: &str, timeout: Duration) -> Self {
         Self {
-            url: format!("{}/state", base.trim_end_matches('/')),
+            url: format!("{}/state", base_url.trim_end_matches('/')),
             caller: HttpCaller::new(timeout),
             timeout,
         }
     }
 
-    /// Reads the store's rate and load.
+    /// Reads the store's rate and load with a single call.
     ///
     /// # Errors
-    /// See [`Error`]; one call.
+    /// See [`Error`].
     pub async fn state(&self) -> Result<WeightStoreState, Error> {
         self.caller.get_json(&self.url, self.timeout).await
     }
--- a/crates/platform/src/wire.rs
+++ b/crates/platform/src/wire.rs
@@ -1,4 +1,5 @@
-//! The JSON form of etcd v3: bytes in base64, 64-bit numbers as text, defaults left out.
+//! Messages of the JSON form of the etcd v3 API. Byte strings are encoded in base64 and 64-bit
+//! numbers as text, and fields with default values are omitted.
 
 use serde::{Deserialize, Serialize};
 use serde_with::{DisplayFromStr, base64::Base64, serde_as};
@@ -125,13 +126,13 @@
     pub result: WatchResult,
 }
 
-/// The end of the range of all keys with this prefix.
+/// Returns the exclusive end of the range of all keys with this prefix.
 pub(crate) fn prefix_end(prefix: &str) -> Vec<u8> {
-    let mut end = prefix.as_bytes().to_vec();
-    while let Some(last) = end.pop() {
-        if last < 0xff {
-            end.push(last + 1);
-            return end;
+    let mut range_end = prefix.as_bytes().to_vec();
+    while let Some(last_byte) = range_end.pop() {
+        if last_byte < 0xff {
+            range_end.push(last_byte + 1);
+            return range_end;
         }
     }
     vec![0]
