--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -5,7 +5,7 @@
 
 use anyhow::{Context, bail};
 use bergamot_bundle::{BundleDigest, SignedBundle, SignerKey, check};
-use bergamot_platform::{CallBudget, HttpCaller, KvClient};
+use bergamot_platform::{CallBudget, HttpClient, KvClient};
 use getopts::{Matches, Options};
 use serde_json::{Value, json};
 
@@ -246,7 +246,7 @@
         RollOutcome::Rolled { number, .. } => {
             if matches.opt_present("wait") {
                 let admins = admins(matches)?;
-                let caller = HttpCaller::new(KV_TIMEOUT);
+                let caller = HttpClient::new(KV_TIMEOUT);
                 if !wait_in_force(&kv, &caller, &admins, number, most).await {
                     let text = format!("roll {number} is not in force everywhere yet");
                     return Ok(CommandOutcome::new(EXIT_NOT_EVERYWHERE, text, json));
@@ -258,7 +258,7 @@
 }
 
 async fn status(matches: &Matches) -> anyhow::Result<CommandOutcome> {
-    let caller = HttpCaller::new(KV_TIMEOUT);
+    let caller = HttpClient::new(KV_TIMEOUT);
     let status = fleet(&kv(matches)?, &caller, &admins(matches)?).await;
     let record = match &status.record {
         Some(record) => format!("roll {} of {}", record.number, record.digest),
@@ -330,7 +330,7 @@
 }
 
 async fn explain_name(matches: &Matches, name: &str) -> anyhow::Result<CommandOutcome> {
-    let caller = HttpCaller::new(KV_TIMEOUT);
+    let caller = HttpClient::new(KV_TIMEOUT);
     let mut lines = Vec::new();
     for admin in admins(matches)? {
         match dump(&caller, &admin).await {
@@ -351,7 +351,7 @@
 }
 
 async fn dump_all(matches: &Matches) -> anyhow::Result<CommandOutcome> {
-    let caller = HttpCaller::new(KV_TIMEOUT);
+    let caller = HttpClient::new(KV_TIMEOUT);
     let mut dumps = serde_json::Map::new();
     for admin in admins(matches)? {
         let state = dump(&caller, &admin).await;
--- a/crates/ctl/src/status.rs
+++ b/crates/ctl/src/status.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use bergamot_bundle::RollRecord;
-use bergamot_platform::{HttpCaller, KvClient};
+use bergamot_platform::{HttpClient, KvClient};
 use serde::Serialize;
 use serde_json::Value;
 
@@ -56,14 +56,14 @@
 ///
 /// # Errors
 /// When it does not answer.
-pub async fn dump(caller: &HttpCaller, admin: &str) -> Result<Value, bergamot_platform::Error> {
+pub async fn dump(caller: &HttpClient, admin: &str) -> Result<Value, bergamot_platform::Error> {
     caller
         .get_json(&format!("http://{admin}/dump"), DUMP_TIMEOUT)
         .await
 }
 
 /// Asks every entry VM and the key-value service.
-pub async fn fleet(kv: &KvClient, caller: &HttpCaller, admins: &[String]) -> FleetStatus {
+pub async fn fleet(kv: &KvClient, caller: &HttpClient, admins: &[String]) -> FleetStatus {
     let record = kv.get(ROLL_KEY).await.ok().flatten();
     let record = record.and_then(|entry| serde_json::from_slice(&entry.value).ok());
     let mut entries = Vec::with_capacity(admins.len());
@@ -99,7 +99,7 @@
 /// Waits until a roll is in force everywhere; false when the time is up.
 pub async fn wait_in_force(
     kv: &KvClient,
-    caller: &HttpCaller,
+    caller: &HttpClient,
     admins: &[String],
     number: u64,
     most: Duration,
--- a/crates/load/src/traffic/audit.rs
+++ b/crates/load/src/traffic/audit.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bergamot_local::ReadyFile;
-use bergamot_platform::HttpCaller;
+use bergamot_platform::HttpClient;
 use bergamot_standin::RunItem;
 use serde::Serialize;
 
@@ -48,7 +48,7 @@
 
 /// Reads every upstream's list and compares.
 pub async fn audit(ready: &ReadyFile, outcomes: &[CallOutcome]) -> AuditResult {
-    let caller = HttpCaller::new(LIST_TIMEOUT);
+    let caller = HttpClient::new(LIST_TIMEOUT);
     let mut result = AuditResult::default();
     let mut by_key: HashMap<String, usize> = HashMap::new();
     let mut by_request: HashMap<String, usize> = HashMap::new();
--- a/crates/local/src/ask.rs
+++ b/crates/local/src/ask.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use bergamot_platform::HttpCaller;
+use bergamot_platform::HttpClient;
 use bergamot_platform::http::{Error, HttpReply, build};
 use bytes::Bytes;
 use hyper::Method;
@@ -15,7 +15,7 @@
 
 /// A caller of one entry VM.
 pub struct LocalCaller {
-    caller: HttpCaller,
+    caller: HttpClient,
     base: String,
 }
 
@@ -23,7 +23,7 @@
     /// A caller of the entry VM at `addr`.
     pub fn new(addr: &str) -> Self {
         Self {
-            caller: HttpCaller::new(TIMEOUT),
+            caller: HttpClient::new(TIMEOUT),
             base: format!("http://{addr}"),
         }
     }
--- a/crates/local/src/site.rs
+++ b/crates/local/src/site.rs
@@ -7,7 +7,7 @@
 use anyhow::{Context, bail};
 use bergamot_adapter::{SitePorts, SiteSettings, sample};
 use bergamot_gateway::GatewayDaemon;
-use bergamot_platform::HttpCaller;
+use bergamot_platform::HttpClient;
 use bergamot_platform::http::build;
 use bergamot_site_standin::{
     GroupTimes, SiteStoreOptions, SiteStoreStandin, SiteUpstream, UpstreamOptions,
@@ -118,7 +118,7 @@
         for (name, value) in sample.headers() {
             headers.insert(name, value.parse().context(name)?);
         }
-        let caller = HttpCaller::new(PATIENCE);
+        let caller = HttpClient::new(PATIENCE);
         let reply = caller.call(request, PATIENCE).await?;
         let text = String::from_utf8_lossy(&reply.body).into_owned();
         Ok((reply.status.as_u16(), text))
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -59,11 +59,11 @@
 
 /// HTTP/1.1 client with a connection pool, which clones share.
 #[derive(Clone)]
-pub struct HttpCaller {
+pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
-impl HttpCaller {
+impl HttpClient {
     /// Creates a client that gives up connecting after `connect_timeout`.
     pub fn new(connect_timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
@@ -143,7 +143,7 @@
     /// Posts a JSON document and returns the JSON document in the answer.
     ///
     /// # Errors
-    /// See [`HttpCaller::get_json`].
+    /// See [`HttpClient::get_json`].
     pub async fn post_json<Document, Answer>(
         &self,
         url: &str,
--- a/crates/platform/src/kv.rs
+++ b/crates/platform/src/kv.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use crate::budget::{CallBudget, CallKind};
-use crate::http::{Error, HttpCaller, build};
+use crate::http::{Error, HttpClient, build};
 use crate::watch::WatchStream;
 use crate::wire::{
     Compare, KeyValue, PutRequest, RangeRequest, RangeResponse, TxnOp, TxnRequest, TxnResponse,
@@ -44,7 +44,7 @@
 #[derive(Clone)]
 pub struct KvClient {
     base_url: String,
-    caller: HttpCaller,
+    client: HttpClient,
     timeout: Duration,
     created_at: Instant,
     budget: Arc<Mutex<CallBudget>>,
@@ -55,7 +55,7 @@
     pub fn new(base_url: &str, timeout: Duration, budget: CallBudget) -> Self {
         Self {
             base_url: base_url.trim_end_matches('/').to_owned(),
-            caller: HttpCaller::new(timeout),
+            client: HttpClient::new(timeout),
             timeout,
             created_at: Instant::now(),
             budget: Arc::new(Mutex::new(budget)),
@@ -89,7 +89,7 @@
     async fn read_range(&self, request: &RangeRequest) -> Result<Vec<KvEntry>, Error> {
         self.spend_call(CallKind::Read)?;
         let url = format!("{}/v3/kv/range", self.base_url);
-        let response: RangeResponse = self.caller.post_json(&url, request, self.timeout).await?;
+        let response: RangeResponse = self.client.post_json(&url, request, self.timeout).await?;
         Ok(response.kvs.into_iter().map(to_entry).collect())
     }
 
@@ -124,7 +124,7 @@
                 range_end: Vec::new(),
             })],
         };
-        let response: TxnResponse = self.caller.post_json(&url, &request, self.timeout).await?;
+        let response: TxnResponse = self.client.post_json(&url, &request, self.timeout).await?;
         if response.succeeded {
             return Ok(CasOutcome::Won(response.header.revision));
         }
@@ -154,7 +154,7 @@
         };
         let body = serde_json::to_vec(&watch_request).unwrap_or_default();
         let request = build(Method::POST, &url, Bytes::from(body))?;
-        let response = self.caller.open(request, self.timeout).await?;
+        let response = self.client.open(request, self.timeout).await?;
         Ok(WatchStream::new(url, response.into_body()))
     }
 
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -17,7 +17,7 @@
 
 pub use backoff::RetryBackoff;
 pub use budget::{CallBudget, CallKind};
-pub use http::{Error, HttpCaller, HttpReply};
+pub use http::{Error, HttpClient, HttpReply};
 pub use kv::{CasOutcome, KvClient, KvEntry};
 pub use vm_list::{VmFact, VmKind, VmListClient, VmState};
 pub use watch::WatchStream;
--- a/crates/platform/src/vm_list.rs
+++ b/crates/platform/src/vm_list.rs
@@ -6,7 +6,7 @@
 use bergamot_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
-use crate::http::{Error, HttpCaller};
+use crate::http::{Error, HttpClient};
 
 /// The role of a VM.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
@@ -54,7 +54,7 @@
 #[derive(Clone)]
 pub struct VmListClient {
     url: String,
-    caller: HttpCaller,
+    client: HttpClient,
     timeout: Duration,
 }
 
@@ -63,7 +63,7 @@
     pub fn new(base_url: &str, timeout: Duration) -> Self {
         Self {
             url: format!("{}/vms", base_url.trim_end_matches('/')),
-            caller: HttpCaller::new(timeout),
+            client: HttpClient::new(timeout),
             timeout,
         }
     }
@@ -73,6 +73,6 @@
     /// # Errors
     /// See [`Error`].
     pub async fn list(&self) -> Result<Vec<VmFact>, Error> {
-        self.caller.get_json(&self.url, self.timeout).await
+        self.client.get_json(&self.url, self.timeout).await
     }
 }
--- a/crates/platform/src/weight_store.rs
+++ b/crates/platform/src/weight_store.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::http::{Error, HttpCaller};
+use crate::http::{Error, HttpClient};
 
 /// The load that the store reports.
 #[derive(Clone, Copy, PartialEq, Debug, Serialize, Deserialize)]
@@ -20,7 +20,7 @@
 #[derive(Clone)]
 pub struct WeightStoreClient {
     url: String,
-    caller: HttpCaller,
+    client: HttpClient,
     timeout: Duration,
 }
 
@@ -29,7 +29,7 @@
     pub fn new(base_url: &str, timeout: Duration) -> Self {
         Self {
             url: format!("{}/state", base_url.trim_end_matches('/')),
-            caller: HttpCaller::new(timeout),
+            client: HttpClient::new(timeout),
             timeout,
         }
     }
@@ -39,6 +39,6 @@
     /// # Errors
     /// See [`Error`].
     pub async fn state(&self) -> Result<WeightStoreState, Error> {
-        self.caller.get_json(&self.url, self.timeout).await
+        self.client.get_json(&self.url, self.timeout).await
     }
 }
