--- a/crates/soak/src/said.rs
+++ b/crates/soak/src/said.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use bergamot_site_standin::{ArrivedRequest, SaidWords};
+use bergamot_site_standin::{AdvertisedState, ArrivedRequest};
 
 use crate::audit::AuditBook;
 use crate::caller::{CallEnd, CallRecord};
@@ -40,19 +40,19 @@
 }
 
 impl SaidFault {
-    fn words(self) -> SaidWords {
-        let none = SaidWords::default();
+    fn words(self) -> AdvertisedState {
+        let none = AdvertisedState::default();
         match self {
-            Self::Limit(milli) => SaidWords {
+            Self::Limit(milli) => AdvertisedState {
                 limit: Some(format!("{}.{:03}", milli / 1_000, milli % 1_000)),
                 ..none
             },
-            Self::Rest(ms) => SaidWords {
+            Self::Rest(ms) => AdvertisedState {
                 rest: Some(format!("{}.{:03}", ms / 1_000, ms % 1_000)),
                 rest_each: REST_EACH,
                 ..none
             },
-            Self::Leaving => SaidWords {
+            Self::Leaving => AdvertisedState {
                 is_leaving: true,
                 ..none
             },
@@ -72,15 +72,15 @@
         let Some(upstream) = self.site.staying(role, index) else {
             return;
         };
-        let (none, words) = (SaidWords::default(), said.words());
-        if !upstream.say_instead(&none, words.clone()) {
+        let (none, words) = (AdvertisedState::default(), said.words());
+        if !upstream.replace_advertised(&none, words.clone()) {
             return;
         }
         tokio::time::sleep(length).await;
         match said {
             SaidFault::Leaving => self.restart(role, index, None).await,
             SaidFault::Limit(_) | SaidFault::Rest(_) => {
-                upstream.say_instead(&words, none);
+                upstream.replace_advertised(&words, none);
             }
         }
     }
--- a/crates/soak/tests/said.rs
+++ b/crates/soak/tests/said.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use bergamot_site_standin::{ArrivedRequest, SaidWords};
+use bergamot_site_standin::{AdvertisedState, ArrivedRequest};
 use bergamot_soak::audit::{AuditBook, Trouble};
 use bergamot_soak::caller::{CallEnd, CallRecord, RequestKind};
 use bergamot_soak::plan::FaultKind;
@@ -24,7 +24,7 @@
 
 struct SaidCase {
     name: &'static str,
-    said: SaidWords,
+    said: AdvertisedState,
     arrivals: Vec<Arrival>,
     trouble: Option<(FaultKind, u64, u64)>,
     found: Option<&'static str>,
@@ -46,17 +46,17 @@
 }
 
 fn cases() -> Vec<SaidCase> {
-    let limited = || SaidWords {
+    let limited = || AdvertisedState {
         limit: Some("2.0".to_owned()),
-        ..SaidWords::default()
+        ..AdvertisedState::default()
     };
-    let resting = || SaidWords {
+    let resting = || AdvertisedState {
         rest: Some("3".to_owned()),
-        ..SaidWords::default()
+        ..AdvertisedState::default()
     };
-    let leaving = || SaidWords {
+    let leaving = || AdvertisedState {
         is_leaving: true,
-        ..SaidWords::default()
+        ..AdvertisedState::default()
     };
     let asked = Arrival {
         is_rested: true,
