--- a/crates/soak/src/said.rs
+++ b/crates/soak/src/said.rs
@@ -48,8 +48,8 @@
                 ..none
             },
             Self::Rest(ms) => AdvertisedState {
-                rest: Some(format!("{}.{:03}", ms / 1_000, ms % 1_000)),
-                rest_each: REST_EACH,
+                backoff: Some(format!("{}.{:03}", ms / 1_000, ms % 1_000)),
+                reject_every: REST_EACH,
                 ..none
             },
             Self::Leaving => AdvertisedState {
@@ -104,7 +104,7 @@
                 ..
             }
         );
-        is_whole && self.request.rest.is_none()
+        is_whole && self.request.backoff.is_none()
     }
 }
 
@@ -137,10 +137,10 @@
     fn check_limits(&self, run: &[KnownArrival<'_>]) -> Option<Violation> {
         let limited: Vec<&KnownArrival<'_>> = run
             .iter()
-            .filter(|it| it.request.said.limit.is_some())
+            .filter(|it| it.request.advertised.limit.is_some())
             .collect();
         let first = limited.first()?;
-        let limit = first.request.said.limit.clone()?;
+        let limit = first.request.advertised.limit.clone()?;
         let bound = first.request.at + CONTACT_TIME;
         let counted: Vec<Instant> = limited
             .iter()
@@ -161,7 +161,7 @@
 
     fn check_rests(&self, run: &[KnownArrival<'_>]) -> Option<Violation> {
         run.iter().find_map(|asked| {
-            let rest: f64 = asked.request.rest.as_ref()?.parse().ok()?;
+            let rest: f64 = asked.request.backoff.as_ref()?.parse().ok()?;
             let (from, until) = (
                 asked.request.at + NOTICE_TIME,
                 asked.request.at + Duration::from_secs_f64(rest),
@@ -183,7 +183,7 @@
         run.iter().find_map(|late| {
             let told = run.iter().filter(|it| {
                 let is_same = it.record.entry == late.record.entry;
-                is_same && it.request.said.is_leaving && it.is_passed_on()
+                is_same && it.request.advertised.is_leaving && it.is_passed_on()
             });
             let told_at = told.map(|it| it.record.ended_at).min()?;
             let after = late.record.sent_at.checked_duration_since(told_at)?;
--- a/crates/soak/tests/said.rs
+++ b/crates/soak/tests/said.rs
@@ -51,7 +51,7 @@
         ..AdvertisedState::default()
     };
     let resting = || AdvertisedState {
-        rest: Some("3".to_owned()),
+        backoff: Some("3".to_owned()),
         ..AdvertisedState::default()
     };
     let leaving = || AdvertisedState {
@@ -180,8 +180,8 @@
         id: format!("r-{number}"),
         at: at(arrival.at),
         born: arrival.born,
-        said: case.said.clone(),
-        rest: arrival.is_rested.then(|| "3".to_owned()),
+        advertised: case.said.clone(),
+        backoff: arrival.is_rested.then(|| "3".to_owned()),
     });
     let records = numbered.map(|(number, arrival)| CallRecord {
         id: format!("r-{number}"),
