--- a/crates/soak/src/said.rs
+++ b/crates/soak/src/said.rs
@@ -122,7 +122,7 @@
             for request in arrived {
                 if let Some(record) = records.get(request.id.as_str()) {
                     let known = KnownArrival { request, record };
-                    runs.entry(request.born).or_default().push(known);
+                    runs.entry(request.started_at).or_default().push(known);
                 }
             }
             for run in runs.values() {
--- a/crates/soak/tests/said.rs
+++ b/crates/soak/tests/said.rs
@@ -179,7 +179,7 @@
     let arrived = numbered.clone().map(|(number, arrival)| ArrivedRequest {
         id: format!("r-{number}"),
         at: at(arrival.at),
-        born: arrival.born,
+        started_at: arrival.born,
         advertised: case.said.clone(),
         backoff: arrival.is_rested.then(|| "3".to_owned()),
     });
