--- a/crates/soak/src/groups.rs
+++ b/crates/soak/src/groups.rs
@@ -56,10 +56,10 @@
                 }
             }
             found.extend(poached_members(leader, &alive));
-            let seat = leader.seat();
+            let seat = leader.membership();
             let is_whole = leader.members().iter().all(|member| {
                 let member = alive.get(member.as_str());
-                member.is_some_and(|member| member.seat() == seat)
+                member.is_some_and(|member| member.membership() == seat)
             });
             self.hold(leader, is_whole);
         }
@@ -87,11 +87,13 @@
     leader: &SiteUpstream,
     alive: &BTreeMap<&str, &Arc<SiteUpstream>>,
 ) -> Vec<Violation> {
-    let own = leader.seat();
+    let own = leader.membership();
     let members = leader.members().into_iter();
     let elsewhere = members.filter_map(|id| {
         let member = alive.get(id.as_str())?;
-        let seat = member.seat().filter(|seat| Some(seat) != own.as_ref())?;
+        let seat = member
+            .membership()
+            .filter(|seat| Some(seat) != own.as_ref())?;
         Some(Violation::TwoGroups {
             member: id,
             leaders: [leader.id().to_owned(), format!("{} {}", seat.0, seat.1)],
