--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -125,10 +125,10 @@
                 let Some(upstream) = self.site.staying(role, index) else {
                     return Ok(());
                 };
-                upstream.mute(true);
+                upstream.block_store_writes(true);
                 self.site.write_entry(&upstream, FOREIGN_ENTRIES[entry]);
                 tokio::time::sleep(length).await;
-                upstream.mute(false);
+                upstream.block_store_writes(false);
             }
             _ => self.switch(fault).await,
         }
@@ -254,7 +254,7 @@
             return;
         };
         let link = self.site.places(role).lock()[index].link.clone();
-        upstream.mute(cut_for.is_some());
+        upstream.block_store_writes(cut_for.is_some());
         upstream.restart();
         match cut_for {
             None => strain(&link, LinkState::Reset, RESTART_TIME).await,
@@ -266,7 +266,7 @@
                     self.site.remove_entry(&upstream);
                 };
                 tokio::join!(strained, lapsed);
-                upstream.mute(false);
+                upstream.block_store_writes(false);
             }
         }
     }
--- a/crates/soak/src/site.rs
+++ b/crates/soak/src/site.rs
@@ -260,7 +260,7 @@
         if run.leaving_since.is_some() || run.upstream.is_dead() {
             return false;
         }
-        run.upstream.die();
+        run.upstream.hang_and_unregister();
         true
     }
 
