--- a/crates/soak/src/harmful.rs
+++ b/crates/soak/src/harmful.rs
@@ -19,7 +19,7 @@
 pub const CRASH: CrashOptions = CrashOptions {
     marker: MARKER,
     delay: Duration::from_millis(25),
-    down: Duration::from_millis(1_200),
+    restart_delay: Duration::from_millis(1_200),
 };
 /// Time between two sends: several are on their way at different processes at once.
 const SEND_PERIOD: Duration = Duration::from_millis(120);
@@ -108,7 +108,7 @@
     let mut count = 0;
     for run in runs {
         let before = ends.get(run.upstream.as_str());
-        if before.is_some_and(|at| run.at - *at < CRASH.down) {
+        if before.is_some_and(|at| run.at - *at < CRASH.restart_delay) {
             continue;
         }
         ends.insert(&run.upstream, run.at);
