--- a/crates/soak/src/said.rs
+++ b/crates/soak/src/said.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use bergamot_site_standin::{ArrivedRequest, SaidWords};
+use bergamot_site_standin::{AdvertisedState, ArrivedRequest};
 
 use crate::audit::AuditBook;
 use crate::caller::{CallEnd, CallRecord};
@@ -40,19 +40,19 @@
 }
 
 impl SaidFault {
-    fn words(self) -> SaidWords {
-        let none = SaidWords::default();
+    fn words(self) -> AdvertisedState {
+        let none = AdvertisedState::default();
         match self {
-            Self::Limit(milli) => SaidWords {
+            Self::Limit(milli) => AdvertisedState {
                 limit: Some(format!("{}.{:03}", milli / 1_000, milli % 1_000)),
                 ..none
             },
-            Self::Rest(ms) => SaidWords {
-                rest: Some(format!("{}.{:03}", ms / 1_000, ms % 1_000)),
-                rest_each: REST_EACH,
+            Self::Rest(ms) => AdvertisedState {
+                backoff: Some(format!("{}.{:03}", ms / 1_000, ms % 1_000)),
+                reject_every: REST_EACH,
                 ..none
             },
-            Self::Leaving => SaidWords {
+            Self::Leaving => AdvertisedState {
                 is_leaving: true,
                 ..none
             },
@@ -72,15 +72,15 @@
         let Some(upstream) = self.site.staying(role, index) else {
             return;
         };
-        let (none, words) = (SaidWords::default(), said.words());
-        if !upstream.say_instead(&none, words.clone()) {
+        let (none, words) = (AdvertisedState::default(), said.words());
+        if !upstream.replace_advertised(&none, words.clone()) {
             return;
         }
         tokio::time::sleep(length).await;
         match said {
             SaidFault::Leaving => self.restart(role, index, None).await,
             SaidFault::Limit(_) | SaidFault::Rest(_) => {
-                upstream.say_instead(&words, none);
+                upstream.replace_advertised(&words, none);
             }
         }
     }
@@ -104,7 +104,7 @@
                 ..
             }
         );
-        is_whole && self.request.rest.is_none()
+        is_whole && self.request.backoff.is_none()
     }
 }
 
@@ -122,7 +122,7 @@
             for request in arrived {
                 if let Some(record) = records.get(request.id.as_str()) {
                     let known = KnownArrival { request, record };
-                    runs.entry(request.born).or_default().push(known);
+                    runs.entry(request.started_at).or_default().push(known);
                 }
             }
             for run in runs.values() {
@@ -137,10 +137,10 @@
     fn check_limits(&self, run: &[KnownArrival<'_>]) -> Option<Violation> {
         let limited: Vec<&KnownArrival<'_>> = run
             .iter()
-            .filter(|it| it.request.said.limit.is_some())
+            .filter(|it| it.request.advertised.limit.is_some())
             .collect();
         let first = limited.first()?;
-        let limit = first.request.said.limit.clone()?;
+        let limit = first.request.advertised.limit.clone()?;
         let bound = first.request.at + CONTACT_TIME;
         let counted: Vec<Instant> = limited
             .iter()
@@ -161,7 +161,7 @@
 
     fn check_rests(&self, run: &[KnownArrival<'_>]) -> Option<Violation> {
         run.iter().find_map(|asked| {
-            let rest: f64 = asked.request.rest.as_ref()?.parse().ok()?;
+            let rest: f64 = asked.request.backoff.as_ref()?.parse().ok()?;
             let (from, until) = (
                 asked.request.at + NOTICE_TIME,
                 asked.request.at + Duration::from_secs_f64(rest),
@@ -183,7 +183,7 @@
         run.iter().find_map(|late| {
             let told = run.iter().filter(|it| {
                 let is_same = it.record.entry == late.record.entry;
-                is_same && it.request.said.is_leaving && it.is_passed_on()
+                is_same && it.request.advertised.is_leaving && it.is_passed_on()
             });
             let told_at = told.map(|it| it.record.ended_at).min()?;
             let after = late.record.sent_at.checked_duration_since(told_at)?;
