--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use anyhow::Context;
-use bergamot_peer::QuietNotice;
+use bergamot_peer::SuspicionNotice;
 use bergamot_ports::{PortSet, VmSite};
 use bergamot_quarantine::QuarantineRecord;
 use hyper::Response;
@@ -44,7 +44,7 @@
     shared: Arc<SharedState>,
     ports: Ports,
     reader: Option<SettingsReader>,
-    quiet: mpsc::Receiver<QuietNotice>,
+    quiet: mpsc::Receiver<SuspicionNotice>,
     records: mpsc::Receiver<QuarantineRecord>,
 }
 
@@ -182,7 +182,7 @@
     reader: Option<SettingsReader>,
     mut signals: SignalSet,
     sockets: FrontSockets,
-    doubts: mpsc::Sender<QuietNotice>,
+    doubts: mpsc::Sender<SuspicionNotice>,
 ) -> anyhow::Result<()>
 where
     Ports: PortSet,
--- a/crates/gateway/src/front/exchange.rs
+++ b/crates/gateway/src/front/exchange.rs
@@ -7,8 +7,8 @@
 use bergamot_feed::PeerDescriptor;
 use bergamot_occupancy::{LOAD_REPORT_PERIOD, OccupancyAction, OccupancyEvent, RelayHop};
 use bergamot_peer::{
-    CrashNotice, LeaderStill, LimitNotice, MAX_DATAGRAM_BYTES, PeerNotice, QuietNotice,
-    SilentNotice, frame,
+    CrashNotice, LeaderStall, LeaderStallNotice, LimitNotice, MAX_DATAGRAM_BYTES, PeerNotice,
+    SuspicionNotice, frame,
 };
 use bergamot_quarantine::{QuarantineEvent, QuarantineRecord};
 use bergamot_quota::{LimitReport, QuotaAction, QuotaEvent};
@@ -35,9 +35,9 @@
 pub async fn exchange<Dialect>(
     front: Rc<FrontContext<Dialect>>,
     socket: UdpSocket,
-    doubts: mpsc::Sender<QuietNotice>,
+    doubts: mpsc::Sender<SuspicionNotice>,
     mut crash_news: mpsc::Receiver<QuarantineRecord>,
-    mut still_news: mpsc::Receiver<LeaderStill>,
+    mut still_news: mpsc::Receiver<LeaderStall>,
     mut quota_news: mpsc::Receiver<QuotaNews>,
 ) {
     let mut periods = tokio::time::interval(LOAD_REPORT_PERIOD.as_duration());
@@ -52,9 +52,9 @@
             }
             _ = periods.tick() => to_notices(tick(&front, &mut idle)),
             Some(record) = crash_news.recv() => tell_crash(&front, &record),
-            Some(silence) = still_news.recv() => {
+            Some(stall) = still_news.recv() => {
                 let hops = front.book.borrow().occupancy.origin_hops(front.now());
-                address_silence(&front, hops, silence)
+                address_silence(&front, hops, stall)
             }
             Some(news) = quota_news.recv() => tell_quota(&front, news),
             changed = changes.changed() => {
@@ -103,7 +103,7 @@
     front: &FrontContext<Dialect>,
     buffer: &[u8],
     received: std::io::Result<(usize, SocketAddr)>,
-    doubts: &mpsc::Sender<QuietNotice>,
+    doubts: &mpsc::Sender<SuspicionNotice>,
 ) -> Vec<AddressedNotice> {
     let length = match received {
         Ok((length, _)) => length,
@@ -177,22 +177,22 @@
 /// Takes over that streams of a leader stand still, and passes it on unless it was told a moment ago.
 fn take_silence<Dialect>(
     front: &FrontContext<Dialect>,
-    notice: &SilentNotice,
+    notice: &LeaderStallNotice,
 ) -> Vec<AddressedNotice> {
-    let silence = notice.silence;
-    if !silence.is_stalled {
+    let stall = notice.stall;
+    if !stall.is_stalled {
         return Vec::new();
     }
     let mut book = front.book.borrow_mut();
     let told = StallNotice {
-        leader: silence.leader,
-        witness: silence.witness,
+        leader: stall.leader,
+        witness: stall.witness,
     };
     if !book.record_stall_notice(told, front.now()) {
         return Vec::new();
     }
     let hops = book.occupancy.forward_hops(&notice.vm, notice.scope);
-    address_silence(front, hops, silence)
+    address_silence(front, hops, stall)
 }
 
 /// What this VM tells or asks about limits.
@@ -260,13 +260,13 @@
 fn address_silence<Dialect>(
     front: &FrontContext<Dialect>,
     hops: Vec<RelayHop>,
-    silence: LeaderStill,
+    stall: LeaderStall,
 ) -> Vec<AddressedNotice> {
     let notices = hops.into_iter().map(|hop| AddressedNotice {
-        notice: PeerNotice::Silent(SilentNotice {
+        notice: PeerNotice::Silent(LeaderStallNotice {
             vm: front.shared.site.vm.to_string(),
             scope: hop.scope,
-            silence,
+            stall,
         }),
         vm: hop.vm,
     });
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -57,7 +57,7 @@
 
 use bergamot_feed::PeerDescriptor;
 use bergamot_groups::DemandMeter;
-use bergamot_peer::LeaderStill;
+use bergamot_peer::LeaderStall;
 use bergamot_ports::RouteKind;
 use bergamot_quarantine::QuarantineRecord;
 use bergamot_quota::QuotaState;
@@ -96,7 +96,7 @@
     /// What this VM saw of requests under which upstreams ended, for the other VMs.
     pub crash_news: mpsc::Sender<QuarantineRecord>,
     /// Leaders whose streams stand still, for the other VMs.
-    pub still_news: mpsc::Sender<LeaderStill>,
+    pub still_news: mpsc::Sender<LeaderStall>,
     /// Words on limits and questions for permits, for the other VMs.
     pub quota_news: mpsc::Sender<QuotaNews>,
 }
@@ -107,7 +107,7 @@
         shared: Arc<SharedState>,
         dialect: Dialect,
         crash_news: mpsc::Sender<QuarantineRecord>,
-        still_news: mpsc::Sender<LeaderStill>,
+        still_news: mpsc::Sender<LeaderStall>,
         quota_news: mpsc::Sender<QuotaNews>,
     ) -> Self {
         let budget = RepeatBudget::new(shared.bounds());
--- a/crates/gateway/src/front/quiet.rs
+++ b/crates/gateway/src/front/quiet.rs
@@ -1,6 +1,6 @@
 //! When an upstream counts as standing still.
 
-use bergamot_peer::{LeaderStill, QuietNotice};
+use bergamot_peer::{LeaderStall, SuspicionNotice};
 use bergamot_routing::{DispatchedRequest, RouteUpstream, StallNotice, StallVerdict};
 use bergamot_types::prelude::*;
 
@@ -50,7 +50,7 @@
 
 /// Tells the other entry VMs that streams of a leader stand still.
 fn tell_still<Dialect>(front: &FrontContext<Dialect>, upstream: &RouteUpstream, told: StallNotice) {
-    let silence = LeaderStill {
+    let silence = LeaderStall {
         leader: told.leader,
         witness: told.witness,
         is_stalled: true,
@@ -73,7 +73,7 @@
     if upstream.group.is_none() {
         return;
     }
-    let notice = QuietNotice {
+    let notice = SuspicionNotice {
         leader: upstream.incarnation.clone(),
         is_certain,
     };
--- a/crates/gateway/src/groups.rs
+++ b/crates/gateway/src/groups.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use bergamot_groups::{GroupAction, GroupOptions, GroupPlanner};
-use bergamot_peer::{PeerNotice, QuietNotice, frame};
+use bergamot_peer::{PeerNotice, SuspicionNotice, frame};
 use bergamot_ports::{
     EngineSpec, KeyCondition, KeyWrite, StateStore, StoreTxn, TxnOutcome, UpstreamControl, VmSite,
 };
@@ -49,9 +49,9 @@
     /// Bounds the calls to upstreams that are on their way.
     calls: Rc<Semaphore>,
     /// Leaders from which nothing comes, as this VM sees it.
-    quiet: mpsc::Receiver<QuietNotice>,
+    quiet: mpsc::Receiver<SuspicionNotice>,
     /// The same as other VMs see it.
-    doubts: mpsc::Receiver<QuietNotice>,
+    doubts: mpsc::Receiver<SuspicionNotice>,
     /// Where notices to the coordinator leave.
     socket: UdpSocket,
 }
@@ -66,8 +66,8 @@
         shared: Arc<SharedState>,
         store: Rc<Store>,
         control: Rc<Control>,
-        quiet: mpsc::Receiver<QuietNotice>,
-        doubts: mpsc::Receiver<QuietNotice>,
+        quiet: mpsc::Receiver<SuspicionNotice>,
+        doubts: mpsc::Receiver<SuspicionNotice>,
         socket: UdpSocket,
     ) -> Self {
         Self {
@@ -115,7 +115,7 @@
     }
 
     /// Tells the coordinator of a leader from which nothing comes.
-    async fn pass_on(&self, notice: Option<QuietNotice>) {
+    async fn pass_on(&self, notice: Option<SuspicionNotice>) {
         let Some(notice) = notice else {
             // The senders live as long as the process.
             return std::future::pending().await;
@@ -270,7 +270,7 @@
         &self,
         term: &LeadTerm,
         planner: Option<&mut GroupPlanner>,
-        notice: Option<QuietNotice>,
+        notice: Option<SuspicionNotice>,
     ) -> Vec<GroupAction> {
         let now = self.shared.clock.now();
         let planner = planner.filter(|_| term.allows_orders(now));
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -5,7 +5,7 @@
 
 use arc_swap::ArcSwap;
 use bergamot_groups::ModelDemand;
-use bergamot_peer::QuietNotice;
+use bergamot_peer::SuspicionNotice;
 use bergamot_ports::{ServingBounds, VmSite};
 use bergamot_quarantine::{QuarantineRecord, QuarantineState};
 use bergamot_types::prelude::*;
@@ -54,7 +54,7 @@
     /// What callers ask of each model here.
     pub demand: ArcSwap<IndexMap<ModelName, ModelDemand>>,
     /// Leaders from which nothing comes, for the coordinator.
-    pub quiet: mpsc::Sender<QuietNotice>,
+    pub quiet: mpsc::Sender<SuspicionNotice>,
     /// Requests under which upstreams ended.
     pub quarantine: Mutex<QuarantineState>,
     /// Records of them that are to be written to the store.
@@ -65,7 +65,7 @@
     /// The state of a process that has just started.
     pub fn new(
         site: VmSite,
-        quiet: mpsc::Sender<QuietNotice>,
+        quiet: mpsc::Sender<SuspicionNotice>,
         records: mpsc::Sender<QuarantineRecord>,
     ) -> Arc<Self> {
         Self::with_clock(site, quiet, records, BootClock::default())
@@ -74,7 +74,7 @@
     /// The same with this clock.
     pub fn with_clock(
         site: VmSite,
-        quiet: mpsc::Sender<QuietNotice>,
+        quiet: mpsc::Sender<SuspicionNotice>,
         records: mpsc::Sender<QuarantineRecord>,
         clock: BootClock,
     ) -> Arc<Self> {
--- a/crates/gateway/src/sync/ask.rs
+++ b/crates/gateway/src/sync/ask.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use bergamot_peer::{NewsAnswer, NewsQuestion, frame};
+use bergamot_peer::{UpdateRequest, UpdateResponse, frame};
 use indexmap::IndexMap;
 use tokio::net::TcpStream;
 
@@ -28,8 +28,8 @@
     pub(crate) async fn ask(
         &mut self,
         addr: SocketAddr,
-        question: NewsQuestion,
-    ) -> Result<NewsAnswer, frame::Error> {
+        question: UpdateRequest,
+    ) -> Result<UpdateResponse, frame::Error> {
         let time = match question.lacks_config_after {
             Some(_) => CONFIG_TIMEOUT,
             None => ASK_TIMEOUT,
@@ -48,8 +48,8 @@
 async fn exchange(
     addr: SocketAddr,
     kept: Option<TcpStream>,
-    question: NewsQuestion,
-) -> Result<(TcpStream, NewsAnswer), frame::Error> {
+    question: UpdateRequest,
+) -> Result<(TcpStream, UpdateResponse), frame::Error> {
     let mut stream = match kept {
         Some(stream) => stream,
         None => {
--- a/crates/gateway/src/sync/board.rs
+++ b/crates/gateway/src/sync/board.rs
@@ -1,7 +1,7 @@
 //! What this VM can tell its peers about the store.
 
 use bergamot_feed::{Freshness, UpdateTable};
-use bergamot_peer::{NewsAnswer, NewsQuestion, StoreNews};
+use bergamot_peer::{StoreUpdates, UpdateRequest, UpdateResponse};
 use bergamot_ports::StoreItem;
 use bergamot_types::prelude::*;
 
@@ -24,20 +24,20 @@
     /// Answers a peer at `now`, when the configuration was confirmed `config_age` ago.
     pub(crate) fn answer(
         &self,
-        question: &NewsQuestion,
+        question: &UpdateRequest,
         now: Millis,
         config_age: Millis,
-    ) -> NewsAnswer {
+    ) -> UpdateResponse {
         let Some(table) = &self.table else {
-            return NewsAnswer::NotReady;
+            return UpdateResponse::NotReady;
         };
         let Some(slice) = table.changes_since(question.after, question.unaffected_until) else {
-            return NewsAnswer::Forgotten;
+            return UpdateResponse::Forgotten;
         };
         let config = self.config.as_ref();
         let lacked = question.lacks_config_after;
         let lacked = config.filter(|config| lacked.is_some_and(|after| after < config.revision));
-        NewsAnswer::Changes(StoreNews {
+        UpdateResponse::Changes(StoreUpdates {
             changes: slice.changes,
             revision: slice.revision,
             has_more: slice.has_more,
--- a/crates/gateway/src/sync/peers.rs
+++ b/crates/gateway/src/sync/peers.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bergamot_feed::PeerDescriptor;
-use bergamot_peer::{NewsAnswer, NewsQuestion, StoreNews};
+use bergamot_peer::{StoreUpdates, UpdateRequest, UpdateResponse};
 use bergamot_ports::{StateStore, StoreCatalog};
 use bergamot_types::prelude::*;
 use tokio::time::Instant;
@@ -131,7 +131,7 @@
     async fn ask_once(&mut self, addr: SocketAddr) -> Result<NewsTold, NewsError> {
         let asked_at = self.shared.clock.now();
         let known = self.known.revision.unwrap_or(0);
-        let question = NewsQuestion {
+        let question = UpdateRequest {
             after: known,
             unaffected_until: known,
             lacks_config_after: self
@@ -151,13 +151,13 @@
     pub(super) async fn ask(
         &mut self,
         addr: SocketAddr,
-        question: NewsQuestion,
-    ) -> Result<StoreNews, NewsError> {
+        question: UpdateRequest,
+    ) -> Result<StoreUpdates, NewsError> {
         let asked_at = self.shared.clock.now();
         let news = match self.caller.ask(addr, question).await? {
-            NewsAnswer::Changes(news) => news,
-            NewsAnswer::Forgotten => return Err(NewsError::Forgotten),
-            NewsAnswer::NotReady => return Err(NewsError::NotReady),
+            UpdateResponse::Changes(news) => news,
+            UpdateResponse::Forgotten => return Err(NewsError::Forgotten),
+            UpdateResponse::NotReady => return Err(NewsError::NotReady),
         };
         // Only a VM that cannot read the store itself makes do with a peer that cannot either: else
         // some peer that can would stop reading it.
@@ -179,7 +179,7 @@
 
     /// Takes over what a peer told when it was asked at `asked_at`. Its ages count from then, which
     /// makes them too old rather than too young.
-    async fn take_news(&mut self, mut news: StoreNews, asked_at: Millis, addr: SocketAddr) {
+    async fn take_news(&mut self, mut news: StoreUpdates, asked_at: Millis, addr: SocketAddr) {
         self.note_success();
         self.take_return(&news, asked_at);
         let now = self.shared.clock.now();
@@ -200,7 +200,7 @@
     }
 
     /// Takes over when the store came back, as a peer saw it.
-    pub(super) fn take_return(&mut self, news: &StoreNews, asked_at: Millis) {
+    pub(super) fn take_return(&mut self, news: &StoreUpdates, asked_at: Millis) {
         if let Some(since) = news.since_return {
             let returned_at = Millis(asked_at.0.saturating_sub(since.0));
             self.known.note_return(returned_at);
@@ -210,7 +210,7 @@
     /// Takes over the confirmation of the configuration by the peer at `addr`, or reads the one that it has heard of.
     pub(super) async fn take_confirmation(
         &mut self,
-        news: &StoreNews,
+        news: &StoreUpdates,
         asked_at: Millis,
         addr: SocketAddr,
     ) {
@@ -232,7 +232,7 @@
     async fn read_config_of(&mut self, addr: SocketAddr) -> bool {
         let asked_at = self.shared.clock.now();
         let known = self.known.revision.unwrap_or(0);
-        let question = NewsQuestion {
+        let question = UpdateRequest {
             after: known,
             unaffected_until: known,
             lacks_config_after: Some(self.known.config_revision),
--- a/crates/gateway/src/sync/read.rs
+++ b/crates/gateway/src/sync/read.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bergamot_feed::{UpdateSource, UpdateTable};
-use bergamot_peer::NewsQuestion;
+use bergamot_peer::UpdateRequest;
 use bergamot_ports::{StateStore, StoreCatalog, StoreEvent, StoreItem, StoreRange};
 use bergamot_types::prelude::*;
 use indexmap::IndexMap;
@@ -88,7 +88,7 @@
         let mut after = 0;
         loop {
             let asked_at = self.shared.clock.now();
-            let question = NewsQuestion {
+            let question = UpdateRequest {
                 after,
                 unaffected_until,
                 lacks_config_after: None,
--- a/crates/gateway/src/sync/serve.rs
+++ b/crates/gateway/src/sync/serve.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bergamot_peer::{NewsQuestion, frame};
+use bergamot_peer::{UpdateRequest, frame};
 use tokio::net::{TcpListener, TcpStream};
 
 use super::board::NewsBoard;
@@ -52,7 +52,7 @@
     }
     loop {
         let question = tokio::time::timeout(IDLE_TIME, frame::read_frame(&mut stream)).await;
-        let question: NewsQuestion = match question {
+        let question: UpdateRequest = match question {
             Ok(Ok(question)) => question,
             Ok(Err(error)) => return error.to_string(),
             Err(_) => return "idle".to_owned(),
--- a/crates/occupancy/src/counts.rs
+++ b/crates/occupancy/src/counts.rs
@@ -1,6 +1,6 @@
 //! Requests in flight per leader.
 
-use bergamot_peer::{LeaderCount, MAX_LEADER_COUNTS, UNREAD_UNIT};
+use bergamot_peer::{LeaderCount, MAX_LEADER_COUNTS, PENDING_TOKENS_UNIT};
 use bergamot_types::prelude::*;
 use indexmap::IndexMap;
 
@@ -94,9 +94,9 @@
             .map(|(leader, load)| LeaderCount {
                 leader: *leader,
                 requests: load.requests.try_into().unwrap_or(u16::MAX),
-                unread: load
+                pending_tokens: load
                     .pending_prompt_tokens
-                    .div_ceil(UNREAD_UNIT)
+                    .div_ceil(PENDING_TOKENS_UNIT)
                     .try_into()
                     .unwrap_or(u16::MAX),
             })
@@ -113,7 +113,7 @@
         for count in wire_counts {
             let load = LeaderLoad {
                 requests: u32::from(count.requests),
-                pending_prompt_tokens: u32::from(count.unread) * UNREAD_UNIT,
+                pending_prompt_tokens: u32::from(count.pending_tokens) * PENDING_TOKENS_UNIT,
             };
             counts.add(count.leader, load);
         }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -8,14 +8,14 @@
 pub mod datagram;
 pub mod frame;
 pub mod message;
-pub mod news;
 pub mod notice;
+pub mod updates;
 
 pub use datagram::{Datagram, DemandFact, EvidenceFact, MAX_DATAGRAM_BYTES};
 pub use frame::{Error, decode, encode, read_frame, write_frame};
 pub use message::{Answer, GroupsEntry, Question};
-pub use news::{NewsAnswer, NewsQuestion, StoreNews};
 pub use notice::{
-    CrashNotice, LeaderCount, LeaderStill, LimitNotice, LoadNotice, LoadScope, MAX_LEADER_COUNTS,
-    PeerNotice, QuietNotice, RelayScope, SilentNotice, UNREAD_UNIT,
+    CrashNotice, LeaderCount, LeaderStall, LeaderStallNotice, LimitNotice, LoadNotice, LoadScope,
+    MAX_LEADER_COUNTS, PENDING_TOKENS_UNIT, PeerNotice, RelayScope, SuspicionNotice,
 };
+pub use updates::{StoreUpdates, UpdateRequest, UpdateResponse};
--- a/crates/peer/src/notice.rs
+++ b/crates/peer/src/notice.rs
@@ -10,13 +10,13 @@
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum PeerNotice {
     /// Nothing comes from a leader of a group.
-    Quiet(QuietNotice),
+    Quiet(SuspicionNotice),
     /// Requests in flight.
     Load(LoadNotice),
     /// Requests under which upstreams ended. A VM that does not know this kind leaves it out.
     Crash(CrashNotice),
     /// Streams of a leader stand still. A VM that does not know this kind leaves it out.
-    Silent(SilentNotice),
+    Silent(LeaderStallNotice),
     /// What an upstream says of its limit. A VM that does not know this kind leaves it out.
     Limit(LimitNotice),
     /// Asks for a permit to send. A VM that does not know this kind leaves it out, and nothing is sent.
@@ -38,18 +38,18 @@
 
 /// That streams of a leader stand still by all appearances, on its way to all other VMs.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
-pub struct SilentNotice {
+pub struct LeaderStallNotice {
     /// The entry VM that passes it on.
     pub vm: String,
     /// Whom the receiver passes it on to.
     pub scope: RelayScope,
     /// What was seen.
-    pub silence: LeaderStill,
+    pub stall: LeaderStall,
 }
 
 /// A leader whose streams stand still.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
-pub struct LeaderStill {
+pub struct LeaderStall {
     /// The leader's short name.
     pub leader: u32,
     /// The short name of the VM that saw it.
@@ -85,7 +85,7 @@
 pub const MAX_LEADER_COUNTS: usize = 100;
 
 /// Prompt tokens that count as one in a notice: 65,535 of them are more than an engine reads in a minute.
-pub const UNREAD_UNIT: u32 = 32;
+pub const PENDING_TOKENS_UNIT: u32 = 32;
 
 /// Requests in flight at leaders of groups.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
@@ -118,13 +118,13 @@
     pub leader: u32,
     /// Requests sent and not ended.
     pub requests: u16,
-    /// Prompt tokens of those whose answers have not begun, in units of [`UNREAD_UNIT`].
-    pub unread: u16,
+    /// Prompt tokens of those whose answers have not begun, in units of [`PENDING_TOKENS_UNIT`].
+    pub pending_tokens: u16,
 }
 
 /// That nothing comes from the leader of a group while requests run there.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
-pub struct QuietNotice {
+pub struct SuspicionNotice {
     /// The leader.
     pub leader: UpstreamIncarnation,
     /// Whether its requests stand still. Before that there is only doubt: an overloaded group is silent
--- a/crates/peer/src/news.rs
+++ b/crates/peer/src/updates.rs
@@ -6,7 +6,7 @@
 
 /// A question for changes.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
-pub struct NewsQuestion {
+pub struct UpdateRequest {
     /// The asker knows everything up to this revision.
     pub after: u64,
     /// The asker knows no key that was removed up to this revision: what it knows everything up to,
@@ -17,11 +17,11 @@
     pub lacks_config_after: Option<u64>,
 }
 
-/// The answer to a [`NewsQuestion`].
+/// The answer to a [`UpdateRequest`].
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
-pub enum NewsAnswer {
+pub enum UpdateResponse {
     /// The changes that the asker lacks.
-    Changes(StoreNews),
+    Changes(StoreUpdates),
     /// The asker lacks changes that are forgotten here.
     Forgotten,
     /// The answerer has not read the store yet.
@@ -31,7 +31,7 @@
 /// Changes, and how recent the answerer's knowledge is. Ages are taken when it answers, so the
 /// asker may count them from the moment it asked.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
-pub struct StoreNews {
+pub struct StoreUpdates {
     /// The latest change of each key, in order; a large configuration is left out.
     pub changes: Vec<StoreEvent>,
     /// The revision that the asker knows everything up to with them.
--- a/crates/peer/tests/frame.rs
+++ b/crates/peer/tests/frame.rs
@@ -1,7 +1,8 @@
 //! Bytes of any kind are read or refused, never a panic.
 
 use bergamot_peer::{
-    Answer, Datagram, NewsAnswer, PeerNotice, Question, StoreNews, decode, encode, read_frame,
+    Answer, Datagram, PeerNotice, Question, StoreUpdates, UpdateResponse, decode, encode,
+    read_frame,
 };
 use bergamot_ports::{StoreEvent, StoreItem};
 use bergamot_quota::{LimitReport, PermitAnswer, PermitClaim, PermitQuestion, PermitVerdict};
@@ -113,7 +114,7 @@
             revision: number,
         })
     };
-    let news = NewsAnswer::Changes(StoreNews {
+    let news = UpdateResponse::Changes(StoreUpdates {
         changes: (0..1_100).map(entry).collect(),
         revision: 1_100,
         has_more: false,
@@ -129,7 +130,7 @@
     let packed = encode(&news).expect("it is small");
     println!("{} bytes", packed.len());
     assert!(packed.len() * 6 < plain, "{} bytes", packed.len());
-    assert_eq!(decode::<NewsAnswer>(&packed).expect("it is ours"), news);
+    assert_eq!(decode::<UpdateResponse>(&packed).expect("it is ours"), news);
 }
 
 /// A question before each request to an upstream with a limit must stay small against the request itself.
