--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use anyhow::Context;
-use bergamot_peer::QuietNotice;
+use bergamot_peer::SuspicionNotice;
 use bergamot_ports::{PortSet, VmSite};
 use bergamot_quarantine::QuarantineRecord;
 use hyper::Response;
@@ -44,7 +44,7 @@
     shared: Arc<SharedState>,
     ports: Ports,
     read_settings: Option<SettingsReader>,
-    stall_notices: mpsc::Receiver<QuietNotice>,
+    stall_notices: mpsc::Receiver<SuspicionNotice>,
     records: mpsc::Receiver<QuarantineRecord>,
 }
 
@@ -193,7 +193,7 @@
     read_settings: Option<SettingsReader>,
     mut signals: SignalSet,
     sockets: FrontSockets,
-    peer_stall_notices: mpsc::Sender<QuietNotice>,
+    peer_stall_notices: mpsc::Sender<SuspicionNotice>,
 ) -> anyhow::Result<()>
 where
     Ports: PortSet,
--- a/crates/gateway/src/front/exchange.rs
+++ b/crates/gateway/src/front/exchange.rs
@@ -7,8 +7,8 @@
 use bergamot_feed::PeerDescriptor;
 use bergamot_occupancy::{LOAD_REPORT_PERIOD, OccupancyAction, OccupancyEvent, RelayHop};
 use bergamot_peer::{
-    CrashNotice, LeaderStill, LimitNotice, MAX_DATAGRAM_BYTES, PeerNotice, QuietNotice,
-    SilentNotice, frame,
+    CrashNotice, LeaderStall, LeaderStallNotice, LimitNotice, MAX_DATAGRAM_BYTES, PeerNotice,
+    SuspicionNotice, frame,
 };
 use bergamot_quarantine::{QuarantineEvent, QuarantineRecord};
 use bergamot_quota::{LimitReport, QuotaAction, QuotaEvent};
@@ -37,9 +37,9 @@
 pub async fn exchange<Dialect>(
     front: Rc<FrontContext<Dialect>>,
     socket: UdpSocket,
-    suspicions: mpsc::Sender<QuietNotice>,
+    suspicions: mpsc::Sender<SuspicionNotice>,
     mut crash_records: mpsc::Receiver<QuarantineRecord>,
-    mut leader_stalls: mpsc::Receiver<LeaderStill>,
+    mut leader_stalls: mpsc::Receiver<LeaderStall>,
     mut quota_messages: mpsc::Receiver<QuotaMessage>,
 ) {
     let mut report_ticks = tokio::time::interval(LOAD_REPORT_PERIOD.as_duration());
@@ -105,7 +105,7 @@
     front: &FrontContext<Dialect>,
     buffer: &[u8],
     received: std::io::Result<(usize, SocketAddr)>,
-    suspicions: &mpsc::Sender<QuietNotice>,
+    suspicions: &mpsc::Sender<SuspicionNotice>,
 ) -> Vec<AddressedNotice> {
     let length = match received {
         Ok((length, _)) => length,
@@ -180,9 +180,9 @@
 /// unless the same notice arrived a moment ago.
 fn apply_stall<Dialect>(
     front: &FrontContext<Dialect>,
-    notice: &SilentNotice,
+    notice: &LeaderStallNotice,
 ) -> Vec<AddressedNotice> {
-    let stall = notice.silence;
+    let stall = notice.stall;
     if !stall.is_stalled {
         return Vec::new();
     }
@@ -266,13 +266,13 @@
 fn address_stall<Dialect>(
     front: &FrontContext<Dialect>,
     hops: Vec<RelayHop>,
-    silence: LeaderStill,
+    stall: LeaderStall,
 ) -> Vec<AddressedNotice> {
     let notices = hops.into_iter().map(|hop| AddressedNotice {
-        notice: PeerNotice::Silent(SilentNotice {
+        notice: PeerNotice::Silent(LeaderStallNotice {
             vm: front.shared.site.vm.to_string(),
             scope: hop.scope,
-            silence,
+            stall,
         }),
         vm: hop.vm,
     });
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -57,7 +57,7 @@
 
 use bergamot_feed::PeerDescriptor;
 use bergamot_groups::DemandMeter;
-use bergamot_peer::LeaderStill;
+use bergamot_peer::LeaderStall;
 use bergamot_ports::RouteKind;
 use bergamot_quarantine::QuarantineRecord;
 use bergamot_quota::QuotaState;
@@ -96,7 +96,7 @@
     /// Sends crashes that this VM observed, and the requests that ran there, to the other VMs.
     pub crash_records: mpsc::Sender<QuarantineRecord>,
     /// Sends notices of stalled leaders to the other VMs.
-    pub stall_notices: mpsc::Sender<LeaderStill>,
+    pub stall_notices: mpsc::Sender<LeaderStall>,
     /// Sends limit reports and permit questions to the other VMs.
     pub quota_messages: mpsc::Sender<QuotaMessage>,
 }
@@ -107,7 +107,7 @@
         shared: Arc<SharedState>,
         dialect: Dialect,
         crash_records: mpsc::Sender<QuarantineRecord>,
-        stall_notices: mpsc::Sender<LeaderStill>,
+        stall_notices: mpsc::Sender<LeaderStall>,
         quota_messages: mpsc::Sender<QuotaMessage>,
     ) -> Self {
         let budget = RetryBudget::new(shared.bounds());
--- a/crates/gateway/src/front/quiet.rs
+++ b/crates/gateway/src/front/quiet.rs
@@ -1,6 +1,6 @@
 //! Detection of stalled upstreams.
 
-use bergamot_peer::{LeaderStill, QuietNotice};
+use bergamot_peer::{LeaderStall, SuspicionNotice};
 use bergamot_routing::{DispatchedRequest, RouteUpstream, StallNotice, StallVerdict};
 use bergamot_types::prelude::*;
 
@@ -54,7 +54,7 @@
     upstream: &RouteUpstream,
     notice: StallNotice,
 ) {
-    let leader_stall = LeaderStill {
+    let leader_stall = LeaderStall {
         leader: notice.leader,
         witness: notice.witness,
         is_stalled: true,
@@ -77,7 +77,7 @@
     if upstream.group.is_none() {
         return;
     }
-    let notice = QuietNotice {
+    let notice = SuspicionNotice {
         leader: upstream.incarnation.clone(),
         is_certain,
     };
--- a/crates/gateway/src/groups.rs
+++ b/crates/gateway/src/groups.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use bergamot_groups::{GroupAction, GroupOptions, GroupPlanner};
-use bergamot_peer::{PeerNotice, QuietNotice, frame};
+use bergamot_peer::{PeerNotice, SuspicionNotice, frame};
 use bergamot_ports::{
     EngineSpec, KeyCondition, KeyWrite, StateStore, StoreTxn, TxnOutcome, UpstreamControl, VmSite,
 };
@@ -52,9 +52,9 @@
     /// Limits the calls to upstreams that are in flight.
     calls: Rc<Semaphore>,
     /// Stalled leaders, as seen by this VM.
-    stall_notices: mpsc::Receiver<QuietNotice>,
+    stall_notices: mpsc::Receiver<SuspicionNotice>,
     /// Stalled leaders, as seen by other VMs.
-    peer_stall_notices: mpsc::Receiver<QuietNotice>,
+    peer_stall_notices: mpsc::Receiver<SuspicionNotice>,
     /// Socket that sends notices to the coordinator.
     socket: UdpSocket,
 }
@@ -69,8 +69,8 @@
         shared: Arc<SharedState>,
         store: Rc<Store>,
         control: Rc<Control>,
-        stall_notices: mpsc::Receiver<QuietNotice>,
-        peer_stall_notices: mpsc::Receiver<QuietNotice>,
+        stall_notices: mpsc::Receiver<SuspicionNotice>,
+        peer_stall_notices: mpsc::Receiver<SuspicionNotice>,
         socket: UdpSocket,
     ) -> Self {
         Self {
@@ -120,7 +120,7 @@
     }
 
     /// Forwards a notice about a stalled leader to the coordinator.
-    async fn forward_notice(&self, notice: Option<QuietNotice>) {
+    async fn forward_notice(&self, notice: Option<SuspicionNotice>) {
         let Some(notice) = notice else {
             // Unreachable: the senders live as long as the process.
             return std::future::pending().await;
@@ -279,7 +279,7 @@
         &self,
         term: &CoordinatorTerm,
         planner: Option<&mut GroupPlanner>,
-        notice: Option<QuietNotice>,
+        notice: Option<SuspicionNotice>,
     ) -> Vec<GroupAction> {
         let now = self.shared.clock.now();
         let planner = planner.filter(|_| term.allows_orders(now));
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -5,7 +5,7 @@
 
 use arc_swap::ArcSwap;
 use bergamot_groups::ModelDemand;
-use bergamot_peer::QuietNotice;
+use bergamot_peer::SuspicionNotice;
 use bergamot_ports::{ServingBounds, VmSite};
 use bergamot_quarantine::{QuarantineRecord, QuarantineState};
 use bergamot_types::prelude::*;
@@ -56,7 +56,7 @@
     /// Demand of this VM's callers, by model.
     pub demand: ArcSwap<IndexMap<ModelName, ModelDemand>>,
     /// Notices of stalled leaders, for the coordinator.
-    pub stall_notices: mpsc::Sender<QuietNotice>,
+    pub stall_notices: mpsc::Sender<SuspicionNotice>,
     /// Requests that were running when upstreams crashed.
     pub quarantine: Mutex<QuarantineState>,
     /// Quarantine records to write to the store.
@@ -67,7 +67,7 @@
     /// Creates the state of a process that has just started.
     pub fn new(
         site: VmSite,
-        stall_notices: mpsc::Sender<QuietNotice>,
+        stall_notices: mpsc::Sender<SuspicionNotice>,
         records: mpsc::Sender<QuarantineRecord>,
     ) -> Arc<Self> {
         Self::with_clock(site, stall_notices, records, BootClock::default())
@@ -76,7 +76,7 @@
     /// Creates the state of a process that has just started, with the given clock.
     pub fn with_clock(
         site: VmSite,
-        stall_notices: mpsc::Sender<QuietNotice>,
+        stall_notices: mpsc::Sender<SuspicionNotice>,
         records: mpsc::Sender<QuarantineRecord>,
         clock: BootClock,
     ) -> Arc<Self> {
--- a/crates/gateway/src/sync/ask.rs
+++ b/crates/gateway/src/sync/ask.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use bergamot_peer::{NewsAnswer, NewsQuestion, frame};
+use bergamot_peer::{UpdateRequest, UpdateResponse, frame};
 use indexmap::IndexMap;
 use tokio::net::TcpStream;
 
@@ -28,8 +28,8 @@
     pub(crate) async fn request_updates(
         &mut self,
         addr: SocketAddr,
-        request: NewsQuestion,
-    ) -> Result<NewsAnswer, frame::Error> {
+        request: UpdateRequest,
+    ) -> Result<UpdateResponse, frame::Error> {
         let timeout = match request.lacks_config_after {
             Some(_) => CONFIG_REQUEST_TIMEOUT,
             None => REQUEST_TIMEOUT,
@@ -48,8 +48,8 @@
 async fn exchange(
     addr: SocketAddr,
     idle_connection: Option<TcpStream>,
-    request: NewsQuestion,
-) -> Result<(TcpStream, NewsAnswer), frame::Error> {
+    request: UpdateRequest,
+) -> Result<(TcpStream, UpdateResponse), frame::Error> {
     let mut stream = match idle_connection {
         Some(stream) => stream,
         None => {
--- a/crates/gateway/src/sync/board.rs
+++ b/crates/gateway/src/sync/board.rs
@@ -1,7 +1,7 @@
 //! Store updates that this VM serves to its peers.
 
 use bergamot_feed::{Freshness, UpdateTable};
-use bergamot_peer::{NewsAnswer, NewsQuestion, StoreNews};
+use bergamot_peer::{StoreUpdates, UpdateRequest, UpdateResponse};
 use bergamot_ports::StoreItem;
 use bergamot_types::prelude::*;
 
@@ -25,21 +25,21 @@
     /// `config_age` ago.
     pub(crate) fn respond(
         &self,
-        request: &NewsQuestion,
+        request: &UpdateRequest,
         now: Millis,
         config_age: Millis,
-    ) -> NewsAnswer {
+    ) -> UpdateResponse {
         let Some(table) = &self.table else {
-            return NewsAnswer::NotReady;
+            return UpdateResponse::NotReady;
         };
         let Some(batch) = table.changes_since(request.after, request.unaffected_until) else {
-            return NewsAnswer::Forgotten;
+            return UpdateResponse::Forgotten;
         };
         let config = self.config.as_ref();
         let missing_config = request.lacks_config_after;
         let missing_config =
             config.filter(|config| missing_config.is_some_and(|after| after < config.revision));
-        NewsAnswer::Changes(StoreNews {
+        UpdateResponse::Changes(StoreUpdates {
             changes: batch.changes,
             revision: batch.revision,
             has_more: batch.has_more,
--- a/crates/gateway/src/sync/peers.rs
+++ b/crates/gateway/src/sync/peers.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bergamot_feed::PeerDescriptor;
-use bergamot_peer::{NewsAnswer, NewsQuestion, StoreNews};
+use bergamot_peer::{StoreUpdates, UpdateRequest, UpdateResponse};
 use bergamot_ports::{StateStore, StoreCatalog};
 use bergamot_types::prelude::*;
 use tokio::time::Instant;
@@ -135,7 +135,7 @@
     async fn poll_once(&mut self, addr: SocketAddr) -> Result<BatchSummary, FeedError> {
         let requested_at = self.shared.clock.now();
         let known = self.known.revision.unwrap_or(0);
-        let request = NewsQuestion {
+        let request = UpdateRequest {
             after: known,
             unaffected_until: known,
             lacks_config_after: self
@@ -155,13 +155,13 @@
     pub(super) async fn request_updates(
         &mut self,
         addr: SocketAddr,
-        request: NewsQuestion,
-    ) -> Result<StoreNews, FeedError> {
+        request: UpdateRequest,
+    ) -> Result<StoreUpdates, FeedError> {
         let requested_at = self.shared.clock.now();
         let updates = match self.feed_client.request_updates(addr, request).await? {
-            NewsAnswer::Changes(updates) => updates,
-            NewsAnswer::Forgotten => return Err(FeedError::Forgotten),
-            NewsAnswer::NotReady => return Err(FeedError::NotReady),
+            UpdateResponse::Changes(updates) => updates,
+            UpdateResponse::Forgotten => return Err(FeedError::Forgotten),
+            UpdateResponse::NotReady => return Err(FeedError::NotReady),
         };
         // Only a VM that cannot reach the store accepts relayed updates. If VMs that can reach it
         // did, they would stop reading it.
@@ -185,7 +185,7 @@
     /// from then, so that they are overestimated rather than underestimated.
     async fn apply_updates(
         &mut self,
-        mut updates: StoreNews,
+        mut updates: StoreUpdates,
         requested_at: Millis,
         addr: SocketAddr,
     ) {
@@ -212,7 +212,7 @@
     }
 
     /// Applies the time at which a peer saw the store come back.
-    pub(super) fn apply_store_return(&mut self, updates: &StoreNews, requested_at: Millis) {
+    pub(super) fn apply_store_return(&mut self, updates: &StoreUpdates, requested_at: Millis) {
         if let Some(since_return) = updates.since_return {
             let returned_at = Millis(requested_at.0.saturating_sub(since_return.0));
             self.known.record_store_return(returned_at);
@@ -223,7 +223,7 @@
     /// configuration that the peer knows of.
     pub(super) async fn apply_confirmation(
         &mut self,
-        updates: &StoreNews,
+        updates: &StoreUpdates,
         requested_at: Millis,
         addr: SocketAddr,
     ) {
@@ -246,7 +246,7 @@
     async fn read_config_from(&mut self, addr: SocketAddr) -> bool {
         let requested_at = self.shared.clock.now();
         let known = self.known.revision.unwrap_or(0);
-        let request = NewsQuestion {
+        let request = UpdateRequest {
             after: known,
             unaffected_until: known,
             lacks_config_after: Some(self.known.config_revision),
--- a/crates/gateway/src/sync/serve.rs
+++ b/crates/gateway/src/sync/serve.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bergamot_peer::{NewsQuestion, frame};
+use bergamot_peer::{UpdateRequest, frame};
 use tokio::net::{TcpListener, TcpStream};
 
 use super::board::FeedState;
@@ -52,7 +52,7 @@
     }
     loop {
         let request = tokio::time::timeout(IDLE_TIMEOUT, frame::read_frame(&mut stream)).await;
-        let request: NewsQuestion = match request {
+        let request: UpdateRequest = match request {
             Ok(Ok(request)) => request,
             Ok(Err(error)) => return error.to_string(),
             Err(_) => return "idle".to_owned(),
