--- a/crates/entry/src/front/answer.rs
+++ b/crates/entry/src/front/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Builds HTTP responses to callers.
 
 use std::convert::Infallible;
 
@@ -12,17 +12,17 @@
 use hyper::header::{CONNECTION, CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
-/// The body of an answer.
+/// The body of a response to a caller.
 pub type CallerBody = UnsyncBoxBody<Bytes, Infallible>;
-/// An answer.
-pub type CallerAnswer = Response<CallerBody>;
+/// A response to a caller.
+pub type CallerResponse = Response<CallerBody>;
 
-/// A refusal, with the time to come back after if that is known better than by the table.
+/// A rejection of a request, with a retry delay if a better one is known than that of [`ErrorKind::response`].
 #[derive(Clone, Copy, Debug)]
 pub struct Refusal {
-    /// Why.
+    /// The reason for the rejection.
     pub kind: ErrorKind,
-    /// When to come back; zero for what the table says.
+    /// Delay after which the caller may retry. Zero selects the default delay of `kind`.
     pub retry_after: Millis,
 }
 
@@ -35,10 +35,10 @@
     }
 }
 
-/// The body of a refusal, in the shape that clients of such APIs expect.
-pub fn error_json(kind: ErrorKind, request_id: &RequestId) -> serde_json::Value {
-    let row = kind.response();
-    let class = match row.status {
+/// Returns the JSON body of an error response, in the format that clients of completion APIs expect.
+pub fn error_body(kind: ErrorKind, request_id: &RequestId) -> serde_json::Value {
+    let defaults = kind.response();
+    let error_type = match defaults.status {
         401 | 403 => "authentication_error",
         429 => "rate_limit_error",
         400..=499 => "invalid_request_error",
@@ -46,95 +46,95 @@
     };
     serde_json::json!({
         "error": {
-            "message": row.message,
-            "type": class,
-            "code": row.code,
+            "message": defaults.message,
+            "type": error_type,
+            "code": defaults.code,
             "param": null,
-            "ran": row.ran.as_str(),
+            "ran": defaults.ran.as_str(),
             "request_id": request_id,
         }
     })
 }
 
-/// The answer to a refused request.
-pub fn refuse(refusal: Refusal, request_id: &RequestId) -> CallerAnswer {
-    let row = refusal.kind.response();
-    let status = StatusCode::from_u16(row.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    let body = error_json(refusal.kind, request_id).to_string();
-    let mut answer = whole(status, "application/json", Bytes::from(body));
-    let headers = answer.headers_mut();
-    headers.insert(RAN, HeaderValue::from_static(row.ran.as_str()));
+/// Builds the response to a rejected request.
+pub fn error_response(refusal: Refusal, request_id: &RequestId) -> CallerResponse {
+    let defaults = refusal.kind.response();
+    let status = StatusCode::from_u16(defaults.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+    let body = error_body(refusal.kind, request_id).to_string();
+    let mut response = full_response(status, "application/json", Bytes::from(body));
+    let headers = response.headers_mut();
+    headers.insert(RAN, HeaderValue::from_static(defaults.ran.as_str()));
     let seconds = match refusal.retry_after {
-        Millis::ZERO => row.retry_after_secs,
-        wait => wait.0.div_ceil(1_000),
+        Millis::ZERO => defaults.retry_after_secs,
+        delay => delay.0.div_ceil(1_000),
     };
-    if row.retry_after_secs > 0 && seconds > 0 {
+    if defaults.retry_after_secs > 0 && seconds > 0 {
         headers.insert(RETRY_AFTER, HeaderValue::from(seconds));
     }
-    // The rest of the body was not read: the connection ends here, and the caller is told so.
+    // The rest of the request body was not read, so the connection cannot be reused. Announces the close to the caller.
     if matches!(
         refusal.kind,
         ErrorKind::TooLarge | ErrorKind::RequestTimeout
     ) {
-        end_connection(&mut answer);
+        set_connection_close(&mut response);
     }
-    name_request(&mut answer, request_id);
-    answer
+    set_request_id(&mut response, request_id);
+    response
 }
 
-/// An answer with a known body.
-pub fn whole(status: StatusCode, content_type: &str, body: Bytes) -> CallerAnswer {
-    let mut answer = Response::new(Full::new(body).boxed_unsync());
-    *answer.status_mut() = status;
-    set_content_type(&mut answer, content_type);
-    answer
+/// Builds a response whose body is known in full.
+pub fn full_response(status: StatusCode, content_type: &str, body: Bytes) -> CallerResponse {
+    let mut response = Response::new(Full::new(body).boxed_unsync());
+    *response.status_mut() = status;
+    set_content_type(&mut response, content_type);
+    response
 }
 
-/// An answer whose body comes in pieces.
-pub fn streamed<Pieces>(
+/// Builds a response whose body is streamed in chunks.
+pub fn streaming_response<Chunks>(
     status: StatusCode,
     content_type: &str,
     first: Bytes,
-    rest: Pieces,
-) -> CallerAnswer
+    rest: Chunks,
+) -> CallerResponse
 where
-    Pieces: futures::Stream<Item = Bytes> + Send + 'static,
+    Chunks: futures::Stream<Item = Bytes> + Send + 'static,
 {
-    let pieces = futures::stream::iter([first]).chain(rest);
-    let frames = pieces.map(|piece| Ok::<_, Infallible>(Frame::data(piece)));
-    let mut answer = Response::new(StreamBody::new(frames).boxed_unsync());
-    *answer.status_mut() = status;
-    set_content_type(&mut answer, content_type);
-    answer
+    let chunks = futures::stream::iter([first]).chain(rest);
+    let frames = chunks.map(|chunk| Ok::<_, Infallible>(Frame::data(chunk)));
+    let mut response = Response::new(StreamBody::new(frames).boxed_unsync());
+    *response.status_mut() = status;
+    set_content_type(&mut response, content_type);
+    response
 }
 
-/// Says that no request is taken on this connection after the answer.
-pub fn end_connection(answer: &mut CallerAnswer) {
+/// Announces that the connection accepts no more requests after this response.
+pub fn set_connection_close(response: &mut CallerResponse) {
     let close = HeaderValue::from_static("close");
-    answer.headers_mut().insert(CONNECTION, close);
+    response.headers_mut().insert(CONNECTION, close);
 }
 
-/// Says that the request ran.
-pub fn mark_ran(answer: &mut CallerAnswer) {
-    let yes = HeaderValue::from_static(RanState::Yes.as_str());
-    answer.headers_mut().insert(RAN, yes);
+/// Marks the response as coming from a request that ran.
+pub fn mark_ran(response: &mut CallerResponse) {
+    let value = HeaderValue::from_static(RanState::Yes.as_str());
+    response.headers_mut().insert(RAN, value);
 }
 
-/// Says that the answer is a kept one.
-pub fn mark_replayed(answer: &mut CallerAnswer) {
-    let yes = HeaderValue::from_static("true");
-    answer.headers_mut().insert(REPLAYED, yes);
+/// Marks the response as the replay of a stored answer.
+pub fn mark_replayed(response: &mut CallerResponse) {
+    let value = HeaderValue::from_static("true");
+    response.headers_mut().insert(REPLAYED, value);
 }
 
-/// Names the request in its answer.
-pub fn name_request(answer: &mut CallerAnswer, request_id: &RequestId) {
+/// Sets the request id in the response headers.
+pub fn set_request_id(response: &mut CallerResponse, request_id: &RequestId) {
     if let Ok(value) = HeaderValue::from_str(request_id.as_str()) {
-        answer.headers_mut().insert(REQUEST_ID, value);
+        response.headers_mut().insert(REQUEST_ID, value);
     }
 }
 
-fn set_content_type(answer: &mut CallerAnswer, content_type: &str) {
+fn set_content_type(response: &mut CallerResponse, content_type: &str) {
     if let Ok(value) = HeaderValue::from_str(content_type) {
-        answer.headers_mut().insert(CONTENT_TYPE, value);
+        response.headers_mut().insert(CONTENT_TYPE, value);
     }
 }
--- a/crates/entry/src/front/breaks.rs
+++ b/crates/entry/src/front/breaks.rs
@@ -1,7 +1,8 @@
-//! Whether an upstream ended when a request was broken off at it, and what that means for the request.
+//! Detects whether an upstream crashed while it ran a request, and withholds requests suspected of
+//! causing crashes.
 //!
-//! What one entry VM sees it tells the others at once. It is not kept: a VM that starts later, or is cut off from the
-//! one that saw it, learns only what it sees itself.
+//! An entry VM that observes a crash sends a notice to the others at once. The notice is not stored:
+//! a VM that starts later, or is cut off from the observer, knows only the crashes it observes itself.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,12 +20,16 @@
 use super::call::CallContext;
 use crate::duty::SharedState;
 
-/// Time for a connection that shows whether anything listens: one that lives takes a few milliseconds.
-const PROBE_TIME: Duration = Duration::from_millis(150);
+/// Timeout of the connection attempt that shows whether an upstream still listens. A running upstream accepts
+/// within a few milliseconds.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
 impl CallContext {
-    /// Whether the request may be sent, for the first time or once more.
-    pub fn check_standing(&self) -> Result<(), ErrorKind> {
+    /// Checks that the request may be sent or retried, with respect to the crashes attributed to it.
+    ///
+    /// # Errors
+    /// When the request is quarantined, or is suspected and may have run already.
+    pub fn check_quarantine(&self) -> Result<(), ErrorKind> {
         let mut quarantine = self.front.shared.quarantine.lock();
         let print = self.spec.print;
         if quarantine.standing(print) == RequestStanding::Good {
@@ -50,11 +55,12 @@
         Err(kind)
     }
 
-    /// Finds out whether an upstream ended at which the request was broken off after so many events had come from its run.
-    pub async fn note_break(&self, fact: &UpstreamFact, events: u32) {
+    /// Records that the request broke off after its upstream had delivered `events` events, and probes whether the
+    /// upstream crashed.
+    pub async fn record_broken_attempt(&self, fact: &UpstreamFact, events: u32) {
         let shared = &self.front.shared;
         let incarnation = incarnation_of(fact);
-        let broken = QuarantineEvent::Broken {
+        let broken_event = QuarantineEvent::Broken {
             incarnation: &incarnation,
             run: BrokenRun {
                 print: self.spec.print,
@@ -62,44 +68,46 @@
             },
             cause: BreakCause::Closed,
         };
-        handle(shared, broken);
-        if !is_refused(fact.addr).await {
+        apply_event(shared, broken_event);
+        if !refuses_connections(fact.addr).await {
             return;
         }
         let evidence = CrashEvidence::NoListener;
-        let ended = QuarantineEvent::Crashed {
+        let crash_event = QuarantineEvent::Crashed {
             incarnation: &incarnation,
             evidence,
         };
-        handle(shared, ended);
+        apply_event(shared, crash_event);
     }
 
-    /// Notes that the request was answered whole. Where several upstreams had a part in it that proves nothing.
-    pub fn note_whole(&self) {
+    /// Records that the request was answered completely. Does nothing if an earlier attempt may have run: an
+    /// answer that several upstreams contributed to does not show the request to be harmless.
+    pub fn record_complete_answer(&self) {
         if !self.maybe_ran() {
-            let answered = QuarantineEvent::Answered(self.spec.print);
-            handle(&self.front.shared, answered);
+            let answered_event = QuarantineEvent::Answered(self.spec.print);
+            apply_event(&self.front.shared, answered_event);
         }
     }
 }
 
-/// A group of another epoch is another run: its leader has started again, or others are in it.
+/// Returns the incarnation of a group's epoch. A new epoch counts as a new incarnation, as the leader has restarted
+/// or the members have changed.
 fn incarnation_of(fact: &UpstreamFact) -> UpstreamIncarnation {
     let id = format!("{}.{}", fact.id, fact.epoch);
     UpstreamIncarnation::new(UpstreamId::new(&id), None)
 }
 
-async fn is_refused(addr: SocketAddr) -> bool {
-    let connected = tokio::time::timeout(PROBE_TIME, TcpStream::connect(addr)).await;
+async fn refuses_connections(addr: SocketAddr) -> bool {
+    let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await;
     matches!(connected, Ok(Err(error)) if error.kind() == std::io::ErrorKind::ConnectionRefused)
 }
 
-fn handle(shared: &Arc<SharedState>, event: QuarantineEvent<'_>) {
+fn apply_event(shared: &Arc<SharedState>, event: QuarantineEvent<'_>) {
     let now = shared.clock.now();
     let actions = shared.quarantine.lock().handle(now, event);
     for action in actions {
         match action {
-            QuarantineAction::Share(record) => tell_members(shared, &record),
+            QuarantineAction::Share(record) => send_crash_notices(shared, &record),
             QuarantineAction::LogCrash {
                 incarnation,
                 evidence,
@@ -122,17 +130,17 @@
     }
 }
 
-/// Tells the other entry VMs, each once. One that is not reached learns from the next end.
-fn tell_members(shared: &Arc<SharedState>, record: &QuarantineRecord) {
+/// Sends a crash notice to each other entry VM, once. A VM that misses it learns of the request from the next crash.
+fn send_crash_notices(shared: &Arc<SharedState>, record: &QuarantineRecord) {
     let view = shared.view.load();
     for member in &view.roster.members {
         if member.entry == shared.settings.entry {
             continue;
         }
         let (shared, addr) = (Arc::clone(shared), member.peer_addr);
-        let question = Question::Crash(record.clone());
+        let crash_notice = Question::Crash(record.clone());
         tokio::spawn(async move {
-            if shared.ask_peer(addr, question).await.is_none() {
+            if shared.ask_peer(addr, crash_notice).await.is_none() {
                 log::info!("event=crash_not_told peer={addr}");
             }
         });
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -1,4 +1,4 @@
-//! One request on its way: its place, its deadline, and what is known of whether it ran.
+//! The state of one request in progress: its concurrency slot, deadline and attempts, and whether it may have run.
 
 use std::sync::Arc;
 
@@ -14,75 +14,75 @@
 use super::server::InFlight;
 use crate::routing_state::{Place, PoolKind, RouteName};
 
-/// A request that has a place.
+/// A request that was admitted and holds a concurrency slot.
 pub struct CallContext {
-    /// What every request needs.
+    /// The context shared by all requests.
     pub front: Arc<FrontContext>,
-    /// What the request is.
+    /// The description of the request.
     pub spec: CallSpec,
     pool: PoolKind,
     tried: Vec<UpstreamId>,
     attempts: u32,
     maybe_ran: bool,
     sends_without_refusal: u32,
-    _place: PlaceGuard,
+    _slot: SlotGuard,
     _in_flight: InFlight,
 }
 
-/// What a request is, before it has a place.
+/// Describes a request independently of its admission.
 pub struct CallSpec {
-    /// The request's name.
+    /// The request id.
     pub id: RequestId,
-    /// Whose request.
+    /// The account the request is made for.
     pub account: ClientAccount,
-    /// Its priority.
+    /// The priority of the request.
     pub priority: u8,
-    /// Which upstreams it may go to.
+    /// The model or service whose upstreams may run the request.
     pub route: RouteName,
-    /// Hash of the prompt's first part.
+    /// Hash of the beginning of the prompt, used for affinity.
     pub prefix: u64,
-    /// What is the same however often the request comes.
+    /// The fingerprint that is equal for every copy of the request.
     pub print: RequestPrint,
-    /// Whether it may run twice.
+    /// Whether the request may run more than once.
     pub is_idempotent: bool,
-    /// When it came in.
-    pub arrived: Millis,
-    /// When its answer is of no use any more.
+    /// When the request arrived.
+    pub arrived_at: Millis,
+    /// When the caller no longer needs the answer.
     pub deadline: Millis,
 }
 
-/// Gives the place back when dropped.
-struct PlaceGuard {
+/// Releases the concurrency slot when dropped.
+struct SlotGuard {
     front: Arc<FrontContext>,
     pool: PoolKind,
     account: ClientAccount,
-    since: Millis,
+    acquired_at: Millis,
 }
 
-impl Drop for PlaceGuard {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
         let shared = &self.front.shared;
         let now = shared.clock.now();
-        let took = now.since(self.since);
+        let held_for = now.since(self.acquired_at);
         let mut routing = shared.routing.lock();
-        routing.release_place(now, self.pool, &self.account, took);
+        routing.release_place(now, self.pool, &self.account, held_for);
         let gauge = &shared.metrics.in_flight;
         gauge.with_label_values(&[self.pool.as_str()]).dec();
     }
 }
 
-/// Forgets a waiting request when dropped, unless its place was given.
-struct WaitGuard<'a> {
+/// Removes a queued request when dropped, unless the queue has already decided on it.
+struct QueueGuard<'a> {
     front: &'a FrontContext,
     pool: PoolKind,
     account: &'a ClientAccount,
     ticket: u64,
-    is_done: bool,
+    is_decided: bool,
 }
 
-impl Drop for WaitGuard<'_> {
+impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
-        if !self.is_done {
+        if !self.is_decided {
             let shared = &self.front.shared;
             let mut routing = shared.routing.lock();
             routing.cancel_place(self.pool, self.ticket);
@@ -91,10 +91,10 @@
 }
 
 impl CallContext {
-    /// Waits for a place.
+    /// Waits for a concurrency slot.
     ///
     /// # Errors
-    /// When the account's limit is used up or no place comes up in time.
+    /// When the account's limit is exhausted or no slot becomes free in time.
     pub async fn admit(
         front: &Arc<FrontContext>,
         spec: CallSpec,
@@ -106,29 +106,29 @@
             RouteName::Service(_) => PoolKind::Service,
         };
         let now = shared.clock.now();
-        let asked =
+        let admission =
             shared
                 .routing
                 .lock()
                 .ask_place(now, pool, &spec.account, spec.priority, spec.deadline);
-        match asked {
+        match admission {
             Place::Admitted => {}
             Place::Refused(kind, retry_after) => return Err(Refusal { kind, retry_after }),
-            Place::Waiting(ticket, word) => {
-                let mut guard = WaitGuard {
+            Place::Waiting(ticket, decision) => {
+                let mut guard = QueueGuard {
                     front,
                     pool,
                     account: &spec.account,
                     ticket,
-                    is_done: false,
+                    is_decided: false,
                 };
-                let word = word.await;
-                guard.is_done = true;
+                let decision = decision.await;
+                guard.is_decided = true;
                 log::trace!(
                     "event=place_given account={} ticket={ticket}",
                     guard.account
                 );
-                match word {
+                match decision {
                     Ok(None) => {}
                     Ok(Some(kind)) => return Err(kind.into()),
                     Err(_) => return Err(ErrorKind::Internal.into()),
@@ -140,11 +140,11 @@
             .in_flight
             .with_label_values(&[pool.as_str()])
             .inc();
-        let place = PlaceGuard {
+        let slot = SlotGuard {
             front: Arc::clone(front),
             pool,
             account: spec.account.clone(),
-            since: shared.clock.now(),
+            acquired_at: shared.clock.now(),
         };
         shared.routing.lock().retries().record_request();
         Ok(Self {
@@ -155,30 +155,31 @@
             attempts: 0,
             maybe_ran: false,
             sends_without_refusal: 0,
-            _place: place,
+            _slot: slot,
             _in_flight: in_flight,
         })
     }
 
-    /// The kind's name in metrics.
+    /// Returns the name of the request's pool in metrics.
     pub fn kind(&self) -> &'static str {
         self.pool.as_str()
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> Millis {
         self.front.shared.clock.now()
     }
 
-    /// Whether any attempt may have run.
+    /// Whether the request may have run in any attempt.
     pub fn maybe_ran(&self) -> bool {
         self.maybe_ran
     }
 
-    /// The error to answer with: what is refused as not run must not have run.
-    pub fn truthful(&self, kind: ErrorKind) -> ErrorKind {
-        let is_claim = kind.response().ran == RanState::No;
-        match (is_claim && self.maybe_ran, kind) {
+    /// Returns the error to answer with. Replaces an error that claims the request did not run if an attempt may have
+    /// run it.
+    pub fn error_for_run_state(&self, kind: ErrorKind) -> ErrorKind {
+        let claims_not_run = kind.response().ran == RanState::No;
+        match (claims_not_run && self.maybe_ran, kind) {
             (false, kind) => kind,
             (true, ErrorKind::DeadlineBeforeSend) => ErrorKind::DeadlineAfterSend,
             (true, _) => ErrorKind::UpstreamLost,
@@ -188,18 +189,19 @@
     /// Chooses an upstream with fresh evidence and plans an attempt.
     ///
     /// # Errors
-    /// When the deadline has passed, attempts are used up, or there is no upstream.
-    pub async fn plan(&mut self) -> Result<(UpstreamFact, Attempt<NotSent>), ErrorKind> {
-        let max = self.front.shared.settings.tuning.max_attempts;
+    /// When the deadline has passed, the attempts are exhausted, the request is quarantined or suspected, or no
+    /// upstream is available.
+    pub async fn plan_attempt(&mut self) -> Result<(UpstreamFact, Attempt<NotSent>), ErrorKind> {
+        let max_attempts = self.front.shared.settings.tuning.max_attempts;
         loop {
             let now = self.now();
             if now >= self.spec.deadline {
                 return Err(ErrorKind::DeadlineBeforeSend);
             }
-            if self.attempts >= max {
+            if self.attempts >= max_attempts {
                 return Err(ErrorKind::UpstreamRefused);
             }
-            self.check_standing()?;
+            self.check_quarantine()?;
             match self.pick(now) {
                 Choice::Upstream(fact) => {
                     let attempt = Attempt::plan(fact.id.clone(), self.spec.is_idempotent);
@@ -227,8 +229,8 @@
         shared.routing.lock().pick(now, &self.spec.route, &request)
     }
 
-    /// Notes that a request is about to leave for an upstream.
-    pub fn note_sent(&mut self, fact: &UpstreamFact) {
+    /// Records that the request is about to be sent to an upstream.
+    pub fn record_sent(&mut self, fact: &UpstreamFact) {
         self.attempts += 1;
         self.sends_without_refusal += 1;
         let may_send = self.spec.is_idempotent || self.sends_without_refusal == 1;
@@ -236,7 +238,7 @@
         let shared = &self.front.shared;
         let max_age = shared.settings.balance.evidence_max_age;
         let age = self.now().since(fact.evidence_at);
-        // Twice the bound: the choice was within it, and the send follows at once.
+        // The choice enforced the bound itself. Twice the bound allows for the time between choice and send.
         Invariant::WholeGroup.check(age.0 <= max_age.0 * 2, || {
             format!("upstream={} evidence_age_ms={age}", fact.id)
         });
@@ -246,8 +248,8 @@
         }
     }
 
-    /// Notes the end of an attempt.
-    pub fn note_ended(&mut self, fact: &UpstreamFact, outcome: &str) {
+    /// Records the end of an attempt and its outcome.
+    pub fn record_attempt_ended(&mut self, fact: &UpstreamFact, outcome: &str) {
         let shared = &self.front.shared;
         let attempts = &shared.metrics.attempts;
         attempts.with_label_values(&[self.kind(), outcome]).inc();
@@ -257,8 +259,8 @@
         }
     }
 
-    /// Notes the first token or answer of an upstream.
-    pub fn note_first(&self, fact: &UpstreamFact, sent: Millis) {
+    /// Records the latency of an upstream's first token or answer, which also counts as evidence.
+    pub fn record_first_response(&self, fact: &UpstreamFact, sent: Millis) {
         let now = self.now();
         let shared = &self.front.shared;
         let mut routing = shared.routing.lock();
@@ -268,28 +270,32 @@
         }
     }
 
-    /// Waits until an upstream that a request runs at has gone without evidence for so long that
-    /// its silence is no pause between tokens. Never for a request that must not run twice.
-    pub async fn upstream_lost(&self, id: &UpstreamId) {
-        let mut missing = 0;
-        while missing < LOST_LOOKS || !self.spec.is_idempotent {
-            tokio::time::sleep(LOST_LOOK.as_duration()).await;
+    /// Waits until the upstream that runs the request has lacked fresh evidence for so long that it is
+    /// stalled rather than pausing between tokens. Never returns for a request that must not run twice.
+    pub async fn wait_for_stall(&self, id: &UpstreamId) {
+        let mut missed_checks = 0;
+        while missed_checks < MAX_MISSED_CHECKS || !self.spec.is_idempotent {
+            tokio::time::sleep(EVIDENCE_CHECK_INTERVAL.as_duration()).await;
             let shared = &self.front.shared;
             let max_age = shared.settings.balance.evidence_max_age;
             let view = shared.view.load();
             let mut facts = view.models.values().flatten();
-            let is_seen = facts
+            let has_fresh_evidence = facts
                 .find(|fact| fact.id == *id)
                 .is_some_and(|fact| self.now().since(fact.evidence_at) <= max_age);
-            missing = if is_seen { 0 } else { missing + 1 };
+            missed_checks = if has_fresh_evidence {
+                0
+            } else {
+                missed_checks + 1
+            };
         }
     }
 
-    /// Notes a failed attempt and says whether another may follow.
+    /// Records a failed attempt. Returns `Ok` if the request may be retried.
     ///
     /// # Errors
-    /// The error to answer with if none may.
-    pub fn after_failure(
+    /// The error to answer with if the request must not be retried.
+    pub fn record_failed_attempt(
         &mut self,
         fact: &UpstreamFact,
         failed: FailedAttempt,
@@ -317,16 +323,16 @@
     }
 }
 
-/// Time between two looks at the evidence of an upstream that is silent.
-const LOST_LOOK: Millis = Millis(500);
-/// Looks in a row without evidence that give it up.
-const LOST_LOOKS: u32 = 3;
+/// Interval between two checks of the evidence of an upstream while a request waits for it.
+const EVIDENCE_CHECK_INTERVAL: Millis = Millis(500);
+/// Consecutive checks without fresh evidence after which the upstream counts as stalled.
+const MAX_MISSED_CHECKS: u32 = 3;
 
-/// A failed attempt, and what the typestate says may follow.
+/// A failed attempt, and the next step that its typestate permits.
 #[derive(Clone, Copy, Debug)]
 pub struct FailedAttempt {
-    /// How it failed.
+    /// How the attempt failed.
     pub outcome: SentOutcome,
-    /// What may follow.
+    /// The permitted next step.
     pub next: NextStep,
 }
--- a/crates/entry/src/front/claimed.rs
+++ b/crates/entry/src/front/claimed.rs
@@ -1,4 +1,4 @@
-//! Requests that must run at most once over all repeats of their caller.
+//! Claims for requests that must run at most once, however often their caller retries them.
 
 use std::sync::Arc;
 
@@ -9,20 +9,22 @@
 use tokio::sync::oneshot;
 
 use super::FrontContext;
-use super::answer::{CallerAnswer, Refusal, mark_ran, mark_replayed, name_request, whole};
+use super::answer::{
+    CallerResponse, Refusal, full_response, mark_ran, mark_replayed, set_request_id,
+};
 use super::request::CallerRequest;
 use crate::duty::{ClaimNote, ClaimsFront};
 
-/// What is added to a request's own time before its claim counts as lost.
+/// Added to the time left until a request's deadline before its claim counts as lost.
 const GRANT_MARGIN: Millis = Millis(5_000);
 
-/// How long an owner that cannot answer yet is asked again before the request is refused. Roster
-/// changes settle within it, and most first attempts end.
-const ASK_PATIENCE: Millis = Millis(1_500);
-/// Time between two of those questions.
-const ASK_RETRY: Millis = Millis(100);
+/// How long to retry a claim that its owner cannot decide yet before the request is rejected.
+/// Roster changes settle within this time, and most first attempts complete.
+const CLAIM_RETRY_LIMIT: Millis = Millis(1_500);
+/// Delay between two tries to obtain a claim.
+const CLAIM_RETRY_INTERVAL: Millis = Millis(100);
 
-/// A granted claim. Its end must be told; dropped without, it counts as unknown.
+/// A granted claim. Its outcome is reported on drop, as unknown if none was recorded.
 pub struct GrantedClaim {
     front: Arc<FrontContext>,
     key: ClaimKey,
@@ -32,26 +34,26 @@
 }
 
 impl GrantedClaim {
-    /// Notes how the request ended, to be told at the end.
-    pub fn end(mut self, outcome: FinishOutcome) {
+    /// Records the outcome of the request, which is reported on drop.
+    pub fn set_outcome(mut self, outcome: FinishOutcome) {
         self.outcome = Some(outcome);
     }
 
-    /// Notes the answer, to be kept if it is small enough.
-    pub fn answered(self, status: StatusCode, content_type: &str, body: Option<&[u8]>) {
-        let most = self.front.shared.settings.tuning.max_kept_bytes;
-        let body = body.filter(|body| body.len() <= most);
-        let answer = StoredAnswer {
+    /// Records the answer. Its body is stored for replays if it is small enough.
+    pub fn record_answer(self, status: StatusCode, content_type: &str, body: Option<&[u8]>) {
+        let max_bytes = self.front.shared.settings.tuning.max_kept_bytes;
+        let body = body.filter(|body| body.len() <= max_bytes);
+        let stored_answer = StoredAnswer {
             status: status.as_u16(),
             content_type: content_type.to_owned(),
             body: body.map(<[u8]>::to_vec),
         };
-        self.end(FinishOutcome::Answered(Arc::new(answer)));
+        self.set_outcome(FinishOutcome::Answered(Arc::new(stored_answer)));
     }
 
-    /// Notes a failure: truly not run, or unknown.
-    pub fn failed(self, kind: ErrorKind) {
-        self.end(match kind.response().ran {
+    /// Records a failure: not run if the error guarantees that, else unknown.
+    pub fn record_failure(self, kind: ErrorKind) {
+        self.set_outcome(match kind.response().ran {
             RanState::No => FinishOutcome::NotRun,
             RanState::Yes | RanState::Unknown => FinishOutcome::Unknown,
         });
@@ -61,32 +63,32 @@
 impl Drop for GrantedClaim {
     fn drop(&mut self) {
         let outcome = self.outcome.take().unwrap_or(FinishOutcome::Unknown);
-        let item = ClaimsFront::Finish {
+        let finish_event = ClaimsFront::Finish {
             key: self.key,
             attempt: self.attempt,
             outcome,
             note: self.front.shared.claim_note(),
         };
-        if !self.front.shared.claims.push(item) {
+        if !self.front.shared.claims.push(finish_event) {
             log::warn!("event=claim_outcome_dropped key={:032x}", self.key.0);
         }
     }
 }
 
-/// The outcome of asking for a claim.
+/// The outcome of requesting a claim.
 pub enum ClaimOutcome {
-    /// Run it, and tell how it ended.
+    /// The request may run. Its outcome must be recorded in the claim.
     Granted(GrantedClaim),
-    /// The first answer.
-    Replay(CallerAnswer),
-    /// It may run twice, or its caller named no key.
+    /// The stored answer of an earlier attempt.
+    Replay(CallerResponse),
+    /// The request may run more than once, or its caller sent no idempotency key.
     NotNeeded,
 }
 
-/// Asks for the claim of a non-idempotent request with a key.
+/// Requests the claim for a non-idempotent request that has an idempotency key.
 ///
 /// # Errors
-/// The verdict, if the request must not run.
+/// The error for the verdict, if the request must not run.
 pub async fn claim(
     front: &Arc<FrontContext>,
     request: &CallerRequest,
@@ -99,14 +101,18 @@
     };
     let shared = &front.shared;
     let key = ClaimKey::of(account, key);
-    let body = fingerprint(request);
-    let (attempt, verdict) = ask_patiently(front, request, key, body).await;
-    let name = verdict_name(&verdict);
-    shared.metrics.claims.with_label_values(&[name]).inc();
+    let body = request_fingerprint(request);
+    let (attempt, verdict) = claim_with_retries(front, request, key, body).await;
+    let verdict_label = verdict_label_of(&verdict);
+    shared
+        .metrics
+        .claims
+        .with_label_values(&[verdict_label])
+        .inc();
     if let Some(kind) = verdict.error() {
         return Err(kind.into());
     }
-    let Verdict::Replay(kept) = verdict else {
+    let Verdict::Replay(stored_answer) = verdict else {
         return Ok(ClaimOutcome::Granted(GrantedClaim {
             front: Arc::clone(front),
             key,
@@ -115,52 +121,52 @@
             _note: shared.claim_note(),
         }));
     };
-    Ok(ClaimOutcome::Replay(replay(&kept, &request.id)))
+    Ok(ClaimOutcome::Replay(replay(&stored_answer, &request.id)))
 }
 
-/// Asks until there is a word. For a moment after each change of the roster its members do not
-/// agree on who owns a key, and a first attempt may still run, or word of its end may be on its
-/// way to the owner: no reason to refuse a request that has time.
-async fn ask_patiently(
+/// Requests the claim until its owner decides or the time is up. Shortly after a roster change the
+/// members may disagree on who owns a key. A first attempt may also be running, or the report of its
+/// outcome may be on its way to the owner. None of these justifies rejecting a request that has time.
+async fn claim_with_retries(
     front: &FrontContext,
     request: &CallerRequest,
     key: ClaimKey,
     body: u64,
 ) -> (u64, Verdict) {
     let clock = &front.shared.clock;
-    let give_up = (clock.now() + ASK_PATIENCE).min(request.deadline);
+    let give_up_at = (clock.now() + CLAIM_RETRY_LIMIT).min(request.deadline);
     loop {
-        let (attempt, verdict) = ask_once(front, request, key, body).await;
-        let may_change = matches!(verdict, Verdict::Unavailable | Verdict::InProgress);
-        if !may_change || clock.now() + ASK_RETRY >= give_up {
+        let (attempt, verdict) = claim_once(front, request, key, body).await;
+        let is_temporary = matches!(verdict, Verdict::Unavailable | Verdict::InProgress);
+        if !is_temporary || clock.now() + CLAIM_RETRY_INTERVAL >= give_up_at {
             return (attempt, verdict);
         }
-        tokio::time::sleep(ASK_RETRY.as_duration()).await;
+        tokio::time::sleep(CLAIM_RETRY_INTERVAL.as_duration()).await;
     }
 }
 
-async fn ask_once(
+async fn claim_once(
     front: &FrontContext,
     request: &CallerRequest,
     key: ClaimKey,
     body: u64,
 ) -> (u64, Verdict) {
-    const NOT_ASKED: (u64, Verdict) = (0, Verdict::Unavailable);
+    const NO_DECISION: (u64, Verdict) = (0, Verdict::Unavailable);
     let shared = &front.shared;
-    let (sender, receiver) = oneshot::channel();
-    let ask = ClaimsFront::Ask {
+    let (verdict_sender, verdict_receiver) = oneshot::channel();
+    let claim_event = ClaimsFront::Ask {
         key,
         body,
         grant: request.deadline.since(shared.clock.now()) + GRANT_MARGIN,
-        reply: sender,
+        reply: verdict_sender,
     };
-    match shared.claims.push(ask) {
-        true => receiver.await.unwrap_or(NOT_ASKED),
-        false => NOT_ASKED,
+    match shared.claims.push(claim_event) {
+        true => verdict_receiver.await.unwrap_or(NO_DECISION),
+        false => NO_DECISION,
     }
 }
 
-fn fingerprint(request: &CallerRequest) -> u64 {
+fn request_fingerprint(request: &CallerRequest) -> u64 {
     let mut bytes = Vec::with_capacity(request.body.len() + request.path.len() + 16);
     for part in [
         request.method.as_str().as_bytes(),
@@ -174,20 +180,20 @@
     hash_bytes(&bytes)
 }
 
-fn replay(kept: &StoredAnswer, id: &RequestId) -> CallerAnswer {
-    let status = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::OK);
-    let body = match &kept.body {
+fn replay(stored_answer: &StoredAnswer, id: &RequestId) -> CallerResponse {
+    let status = StatusCode::from_u16(stored_answer.status).unwrap_or(StatusCode::OK);
+    let body = match &stored_answer.body {
         Some(body) => Bytes::from(body.clone()),
         None => Bytes::from_static(b"{\"note\":\"the first answer was too large to keep\"}"),
     };
-    let mut answer = whole(status, &kept.content_type, body);
-    mark_ran(&mut answer);
-    mark_replayed(&mut answer);
-    name_request(&mut answer, id);
-    answer
+    let mut response = full_response(status, &stored_answer.content_type, body);
+    mark_ran(&mut response);
+    mark_replayed(&mut response);
+    set_request_id(&mut response, id);
+    response
 }
 
-fn verdict_name(verdict: &Verdict) -> &'static str {
+fn verdict_label_of(verdict: &Verdict) -> &'static str {
     match verdict {
         Verdict::Granted => "granted",
         Verdict::Replay(_) => "kept",
--- a/crates/entry/src/front/mod.rs
+++ b/crates/entry/src/front/mod.rs
@@ -1,4 +1,5 @@
-//! The callers' side: HTTP in, requests through admission, claims and attempts, answers out.
+//! The front: accepts callers' HTTP requests, takes them through admission, claims and attempts, and returns the
+//! answers.
 
 mod answer;
 mod breaks;
@@ -19,10 +20,10 @@
 
 pub use server::serve;
 
-/// What every request needs.
+/// The context shared by all requests.
 pub struct FrontContext {
-    /// What the duties share.
+    /// The state shared by the daemon's duties.
     pub shared: Arc<SharedState>,
-    /// The client of upstreams.
+    /// The HTTP client for upstreams.
     pub client: EngineClient,
 }
--- a/crates/entry/src/front/probe.rs
+++ b/crates/entry/src/front/probe.rs
@@ -1,4 +1,4 @@
-//! Asks the members of a group when what is known of it is too old to send to it.
+//! Probes the members of a replica group whose evidence is too old for a request to be sent to it.
 
 use bergamot_placement::EngineReport;
 use bergamot_routing::UpstreamFact;
@@ -8,7 +8,8 @@
 use super::FrontContext;
 use crate::routing_state::RouteName;
 
-/// Asks every member at once; true if all are ready in the group's epoch, which is then noted.
+/// Queries all members at once. Returns whether all of them are ready in the group's epoch and answered within the
+/// maximum age of evidence. If all are ready, records fresh evidence for the group.
 pub async fn probe_group(front: &FrontContext, route: &RouteName, fact: &UpstreamFact) -> bool {
     let shared = &front.shared;
     let view = shared.view.load_full();
@@ -19,7 +20,7 @@
         return false;
     }
     let timeout = shared.settings.tuning.probe_timeout.as_duration();
-    let asked = shared.clock.now();
+    let probed_at = shared.clock.now();
     let reports = group
         .members
         .iter()
@@ -29,20 +30,21 @@
         report.is_ready_in(&group.id, fact.epoch)
             && report.model.as_ref() == Some(&group.group.model)
     };
-    let is_whole = reports
+    let all_ready = reports
         .iter()
         .all(|report| report.as_ref().is_ok_and(is_ready));
-    if is_whole {
+    if all_ready {
         let mut routing = shared.routing.lock();
         if let Some(balancer) = routing.balancer(route) {
-            balancer.record_evidence(&fact.id, fact.epoch, asked);
+            balancer.record_evidence(&fact.id, fact.epoch, probed_at);
         }
     }
     log::debug!(
-        "event=group_probed group={} epoch={} whole={is_whole} took_ms={}",
+        "event=group_probed group={} epoch={} whole={all_ready} took_ms={}",
         fact.id,
         fact.epoch,
-        shared.clock.now().since(asked)
+        shared.clock.now().since(probed_at)
     );
-    is_whole && shared.clock.now().since(asked) < Millis(shared.settings.balance.evidence_max_age.0)
+    all_ready
+        && shared.clock.now().since(probed_at) < Millis(shared.settings.balance.evidence_max_age.0)
 }
--- a/crates/entry/src/front/request.rs
+++ b/crates/entry/src/front/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, read and checked.
+//! Reads and validates callers' requests.
 
 use std::sync::Arc;
 
@@ -17,36 +17,36 @@
 use super::FrontContext;
 use crate::settings::TuningSettings;
 
-/// The longest request id and idempotency key that is taken, in bytes.
+/// The longest accepted request id or idempotency key.
 const MAX_NAME_BYTES: usize = 256;
 
-/// A request whose body has arrived.
+/// A request whose body was received in full.
 #[derive(Clone, Debug)]
 pub struct CallerRequest {
-    /// Its name.
+    /// The request id.
     pub id: RequestId,
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// The path.
+    /// The path of the URI.
     pub path: String,
-    /// The query, without the question mark.
+    /// The query of the URI, without the question mark.
     pub query: Option<String>,
-    /// The headers.
+    /// The request headers.
     pub headers: HeaderMap,
-    /// The body.
+    /// The request body.
     pub body: Bytes,
-    /// When it came in.
-    pub arrived: Millis,
-    /// When the answer is of no use any more.
+    /// When the request head arrived.
+    pub arrived_at: Millis,
+    /// When the caller no longer needs the answer.
     pub deadline: Millis,
-    /// The operation it belongs to, if the caller named it.
+    /// The idempotency key, if the caller sent one.
     pub idempotency_key: Option<String>,
-    /// Whether the caller demands that it runs at most once.
+    /// Whether the caller requires that the request runs at most once.
     pub at_most_once: bool,
 }
 
 impl CallerRequest {
-    /// What is the same however often the request comes.
+    /// Returns the fingerprint that is equal for every copy of the request.
     pub fn print(&self, account: &ClientAccount) -> RequestPrint {
         let path = match &self.query {
             Some(query) => format!("{}?{query}", self.path),
@@ -56,27 +56,27 @@
     }
 }
 
-/// The request's name: the caller's own if it is fit to be one, else a new one.
+/// Returns the caller's request id if it is valid, else a new random id.
 pub fn request_id(headers: &HeaderMap) -> RequestId {
-    let given = text(headers, REQUEST_ID).filter(|id| is_name(id));
-    match given {
+    let caller_id = header_text(headers, REQUEST_ID).filter(|id| is_valid_name(id));
+    match caller_id {
         Some(id) => RequestId::new(id),
         None => RequestId::from(format!("req-{:032x}", rand::random::<u128>())),
     }
 }
 
-fn is_name(text: &str) -> bool {
+fn is_valid_name(text: &str) -> bool {
     !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.bytes().all(|b| b.is_ascii_graphic())
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// Reads a request in full.
+/// Reads a request and its body.
 ///
 /// # Errors
-/// When the body is too large, too slow or broken, or a header is unfit.
+/// When the body is too large, does not arrive in time or breaks off, or a header is invalid.
 pub async fn read(
     context: &FrontContext,
     request: Request<Incoming>,
@@ -84,20 +84,20 @@
 ) -> Result<CallerRequest, ErrorKind> {
     let shared = &context.shared;
     let tuning = &shared.settings.tuning;
-    let arrived = shared.clock.now();
+    let arrived_at = shared.clock.now();
     let (head, body) = request.into_parts();
-    let deadline = arrived + deadline_of(&head.headers, tuning)?;
+    let deadline = arrived_at + parse_deadline(&head.headers, tuning)?;
     let idempotency_key = match head.headers.get(IDEMPOTENCY_KEY) {
         None => None,
         Some(value) => {
             let key = value.to_str().map_err(|_| ErrorKind::BadRequest)?;
-            if !is_name(key) {
+            if !is_valid_name(key) {
                 return Err(ErrorKind::BadRequest);
             }
             Some(key.to_owned())
         }
     };
-    let at_most_once = match text(&head.headers, RUN) {
+    let at_most_once = match header_text(&head.headers, RUN) {
         None => false,
         Some("at-most-once") => true,
         Some(_) => return Err(ErrorKind::BadRequest),
@@ -118,53 +118,53 @@
         query: head.uri.query().map(str::to_owned),
         headers: head.headers,
         body,
-        arrived,
+        arrived_at,
         deadline,
         idempotency_key,
         at_most_once,
     })
 }
 
-fn deadline_of(headers: &HeaderMap, tuning: &TuningSettings) -> Result<Millis, ErrorKind> {
+fn parse_deadline(headers: &HeaderMap, tuning: &TuningSettings) -> Result<Millis, ErrorKind> {
     let Some(value) = headers.get(DEADLINE) else {
         return Ok(tuning.default_deadline);
     };
     let value = value.to_str().map_err(|_| ErrorKind::BadRequest)?;
-    let wanted: u64 = value.parse().map_err(|_| ErrorKind::BadRequest)?;
-    Ok(Millis(wanted).min(tuning.max_deadline))
+    let deadline_ms: u64 = value.parse().map_err(|_| ErrorKind::BadRequest)?;
+    Ok(Millis(deadline_ms).min(tuning.max_deadline))
 }
 
-/// The account a request's token belongs to.
+/// Returns the account that the request's bearer token belongs to.
 ///
 /// # Errors
-/// [`ErrorKind::Unauthorized`] without a known token.
+/// [`ErrorKind::Unauthorized`] if the token is missing or unknown.
 pub fn authenticate<'a>(
     headers: &HeaderMap,
-    force: &'a ActiveBundle,
+    active_bundle: &'a ActiveBundle,
 ) -> Result<&'a AccountSpec, ErrorKind> {
-    let token = text(headers, AUTHORIZATION.as_str())
+    let token = header_text(headers, AUTHORIZATION.as_str())
         .and_then(|value| value.strip_prefix("Bearer "))
         .ok_or(ErrorKind::Unauthorized)?;
-    let hash = BundleDigest::of(token.trim().as_bytes()).to_string();
-    let mut accounts = force.document.accounts.iter();
+    let token_hash = BundleDigest::of(token.trim().as_bytes()).to_string();
+    let mut accounts = active_bundle.document.accounts.iter();
     accounts
-        .find(|account| account.token_sha256.eq_ignore_ascii_case(&hash))
+        .find(|account| account.token_sha256.eq_ignore_ascii_case(&token_hash))
         .ok_or(ErrorKind::Unauthorized)
 }
 
-/// The bundle in force.
+/// Returns the active bundle.
 ///
 /// # Errors
-/// [`ErrorKind::NoBundle`] before the first.
+/// [`ErrorKind::NoBundle`] if no bundle is active yet.
 pub fn bundle(context: &FrontContext) -> Result<Arc<ActiveBundle>, ErrorKind> {
     let view = context.shared.view.load();
     view.force.clone().ok_or(ErrorKind::NoBundle)
 }
 
-/// Checks that an account is on a list.
+/// Checks that an account is on a list of allowed accounts.
 ///
 /// # Errors
-/// [`ErrorKind::Forbidden`] if it is not.
+/// [`ErrorKind::Forbidden`] if the account is not on the list.
 pub fn allow(accounts: &[ClientAccount], account: &AccountSpec) -> Result<(), ErrorKind> {
     match is_allowed(accounts, &account.name) {
         true => Ok(()),
--- a/crates/entry/src/front/server.rs
+++ b/crates/entry/src/front/server.rs
@@ -1,4 +1,4 @@
-//! Connections of callers and the first look at each request.
+//! Accepts callers' connections and dispatches their requests.
 
 use std::convert::Infallible;
 use std::pin::pin;
@@ -17,21 +17,24 @@
 use tokio::sync::{Notify, watch};
 use tokio_rustls::TlsAcceptor;
 
-use super::answer::{CallerAnswer, Refusal, end_connection, name_request, refuse, whole};
+use super::answer::{
+    CallerResponse, Refusal, error_response, full_response, set_connection_close, set_request_id,
+};
 use super::request::{authenticate, bundle, read, request_id};
 use super::{FrontContext, model, service};
 use crate::tls::TlsKeeper;
 use bergamot_types::prelude::*;
 
-/// How long a caller may take to send the head of a request.
+/// Timeout for a caller to send the head of a request, and for the TLS handshake.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Streams at once on one HTTP/2 connection.
+/// Maximum number of concurrent streams on one HTTP/2 connection.
 const MAX_STREAMS: u32 = 1_024;
-/// How long a connection that has sent no request is waited for once nothing is accepted any more. A caller that has just connected sends
-/// within a round trip or two, three with TLS; the stop takes longer by this where callers connect in advance.
-const FIRST_REQUEST_TIME: Duration = Duration::from_millis(500);
+/// How long a shutdown waits for the first request of an open connection. A caller that has just connected sends its
+/// request within one or two round trips, or three with TLS. Callers that connect in advance delay the shutdown by
+/// this time.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Serves callers until `stop` says so, then until every connection has ended.
+/// Accepts callers until `stop` is set, then waits until every connection has closed.
 pub async fn serve(
     context: Arc<FrontContext>,
     listener: TcpListener,
@@ -39,7 +42,7 @@
     mut stop: watch::Receiver<bool>,
 ) {
     let closing = watch::Sender::new(false);
-    let accept = |stream: TcpStream| {
+    let accept_stream = |stream: TcpStream| {
         let _ = stream.set_nodelay(true);
         let connection = CallerConnection {
             context: Arc::clone(&context),
@@ -56,17 +59,17 @@
         let Ok((stream, _)) = accepted else {
             continue;
         };
-        accept(stream);
+        accept_stream(stream);
     }
     bergamot_gateway::listen::close_listener(listener)
         .into_iter()
-        .for_each(accept);
-    // A connection that is told late, as its handshake goes on, finds the word already there.
+        .for_each(accept_stream);
+    // A connection that is still in its TLS handshake finds the flag set when it starts to serve.
     closing.send_replace(true);
     closing.closed().await;
 }
 
-/// One connection of a caller. The side of the callers ends once all of them are dropped.
+/// One connection of a caller. [`serve`] returns once all connections are dropped.
 struct CallerConnection {
     context: Arc<FrontContext>,
     closing: watch::Receiver<bool>,
@@ -77,9 +80,9 @@
         let Some(acceptor) = acceptor else {
             return self.serve(TokioIo::new(stream)).await;
         };
-        let accepted = acceptor.accept(stream);
-        let accepted = tokio::time::timeout(HEADER_TIMEOUT, accepted).await;
-        if let Ok(Ok(stream)) = accepted {
+        let handshake = acceptor.accept(stream);
+        let handshake = tokio::time::timeout(HEADER_TIMEOUT, handshake).await;
+        if let Ok(Ok(stream)) = handshake {
             self.serve(TokioIo::new(stream)).await;
         }
     }
@@ -97,51 +100,52 @@
             .http2()
             .timer(TokioTimer::new())
             .max_concurrent_streams(MAX_STREAMS);
-        let first = Arc::new(Notify::new());
+        let first_request = Arc::new(Notify::new());
         let service = service_fn(|request| {
-            first.notify_one();
+            first_request.notify_one();
             let context = Arc::clone(&self.context);
-            async move { Ok::<_, Infallible>(answer(context, request).await) }
+            async move { Ok::<_, Infallible>(handle_request(context, request).await) }
         });
         let mut connection = pin!(builder.serve_connection(io, service));
-        let told = async {
+        let shutdown_requested = async {
             let _ = self.closing.wait_for(|is_closing| *is_closing).await;
-            // Ended before its first request, it would leave its caller without a word on whether that ran.
-            let _ = tokio::time::timeout(FIRST_REQUEST_TIME, first.notified()).await;
+            // If the connection closed before its first request, a caller that has just sent one could not tell
+            // whether it ran.
+            let _ = tokio::time::timeout(FIRST_REQUEST_TIMEOUT, first_request.notified()).await;
         };
-        let ended = tokio::select! {
-            ended = connection.as_mut() => ended,
-            () = told => {
+        let result = tokio::select! {
+            result = connection.as_mut() => result,
+            () = shutdown_requested => {
                 connection.as_mut().graceful_shutdown();
                 connection.await
             }
         };
-        if let Err(error) = ended {
+        if let Err(error) = result {
             log::trace!("event=caller_connection_ended reason={error:?}");
         }
     }
 }
 
-async fn answer(context: Arc<FrontContext>, request: Request<Incoming>) -> CallerAnswer {
+async fn handle_request(context: Arc<FrontContext>, request: Request<Incoming>) -> CallerResponse {
     let id = request_id(request.headers());
     let is_http2 = request.version() == Version::HTTP_2;
     let in_flight = InFlight::new(&context);
-    let outcome = route(&context, request, id.clone(), in_flight).await;
-    let mut answer = outcome.unwrap_or_else(|refusal| refuse(refusal, &id));
-    // An idle connection is closed soon, and HTTP/1 can't say whether a request that crosses the close was taken. Said with the answer
-    // that comes before, no caller sends one there.
+    let outcome = route_request(&context, request, id.clone(), in_flight).await;
+    let mut response = outcome.unwrap_or_else(|refusal| error_response(refusal, &id));
+    // Idle connections are closed soon, and HTTP/1 cannot tell the caller whether a request sent during the close was
+    // accepted. Announcing the close with the preceding response keeps callers from sending one.
     if context.shared.is_stopping() && !is_http2 {
-        end_connection(&mut answer);
+        set_connection_close(&mut response);
     }
-    answer
+    response
 }
 
-async fn route(
+async fn route_request(
     context: &Arc<FrontContext>,
     request: Request<Incoming>,
     id: RequestId,
     in_flight: InFlight,
-) -> Result<CallerAnswer, Refusal> {
+) -> Result<CallerResponse, Refusal> {
     let path = request.uri().path().to_owned();
     let is_model_list = path == "/v1/models";
     let is_chat = path == "/v1/chat/completions";
@@ -150,35 +154,35 @@
     if !(is_model_list || is_model || is_service) {
         return Err(ErrorKind::NotFound.into());
     }
-    let wanted = if is_model_list {
+    let expected_method = if is_model_list {
         Method::GET
     } else {
         Method::POST
     };
-    if !is_service && *request.method() != wanted {
+    if !is_service && *request.method() != expected_method {
         return Err(ErrorKind::MethodNotAllowed.into());
     }
-    let force = bundle(context)?;
-    let account = authenticate(request.headers(), &force)?.clone();
+    let active = bundle(context)?;
+    let account = authenticate(request.headers(), &active)?.clone();
     if context.shared.is_stopping() {
         return Err(ErrorKind::ShuttingDown.into());
     }
     if is_model_list {
-        let mut answer = model_list(&force.document, &account);
-        name_request(&mut answer, &id);
-        return Ok(answer);
+        let mut response = model_list(&active.document, &account);
+        set_request_id(&mut response, &id);
+        return Ok(response);
     }
     let request = read(context, request, id).await?;
     match is_model {
-        true => model::answer(context, request, &force, &account, is_chat, in_flight).await,
-        false => service::answer(context, request, &force, &account, in_flight).await,
+        true => model::handle(context, request, &active, &account, is_chat, in_flight).await,
+        false => service::handle(context, request, &active, &account, in_flight).await,
     }
 }
 
 fn model_list(
     document: &bergamot_bundle::BundleDocument,
     account: &bergamot_bundle::AccountSpec,
-) -> CallerAnswer {
+) -> CallerResponse {
     let models: Vec<serde_json::Value> = document
         .models
         .iter()
@@ -193,14 +197,14 @@
         })
         .collect();
     let body = serde_json::json!({ "object": "list", "data": models });
-    whole(
+    full_response(
         StatusCode::OK,
         "application/json",
         Bytes::from(body.to_string()),
     )
 }
 
-/// Counts one request for as long as it lives.
+/// Counts one request as in flight until it is dropped.
 pub struct InFlight {
     context: Arc<FrontContext>,
 }
--- a/crates/entry/src/front/service.rs
+++ b/crates/entry/src/front/service.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services.
+//! Requests to plain services.
 
 use std::sync::Arc;
 
@@ -14,46 +14,49 @@
 use hyper::{Response, StatusCode};
 
 use super::FrontContext;
-use super::answer::{CallerAnswer, Refusal, mark_ran, name_request, whole};
+use super::answer::{CallerResponse, Refusal, full_response, mark_ran, set_request_id};
 use super::call::{CallContext, CallSpec, FailedAttempt};
 use super::claimed::{ClaimOutcome, GrantedClaim, claim};
 use super::request::{CallerRequest, allow};
 use super::server::InFlight;
-use super::upstream::{common_headers, late, outcome_name, sent_outcome};
+use super::upstream::{common_headers, deadline_error, outcome_name, sent_outcome};
 use crate::routing_state::RouteName;
 
-/// Where plain services are called.
+/// Path prefix of requests to plain services.
 pub const PATH_PREFIX: &str = "/services/";
-/// The largest answer of a plain service, in bytes.
+/// The largest accepted answer of a plain service.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
 
-/// A plain service's whole answer.
+/// The complete answer of a plain service.
 struct ServiceReply {
     status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
 }
 
-/// Answers a call of a plain service.
+/// Handles a request to a plain service.
 ///
 /// # Errors
-/// The refusal, if no service answered.
-pub async fn answer(
+/// The rejection, if no upstream of the service answered.
+pub async fn handle(
     front: &Arc<FrontContext>,
     request: CallerRequest,
-    force: &ActiveBundle,
+    active_bundle: &ActiveBundle,
     account: &AccountSpec,
     in_flight: InFlight,
-) -> Result<CallerAnswer, Refusal> {
-    let rest = request.path.strip_prefix(PATH_PREFIX).unwrap_or_default();
-    let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
+) -> Result<CallerResponse, Refusal> {
+    let target = request.path.strip_prefix(PATH_PREFIX).unwrap_or_default();
+    let (name, path) = target.split_once('/').unwrap_or((target, ""));
     let path = format!("/{path}");
-    let spec = force.document.service(name).ok_or(ErrorKind::NotFound)?;
+    let spec = active_bundle
+        .document
+        .service(name)
+        .ok_or(ErrorKind::NotFound)?;
     allow(&spec.accounts, account)?;
-    let rule = spec.is_idempotent(request.method.as_str(), &path);
-    let is_idempotent = rule && !request.at_most_once;
+    let is_declared_idempotent = spec.is_idempotent(request.method.as_str(), &path);
+    let is_idempotent = is_declared_idempotent && !request.at_most_once;
     let route = RouteName::Service(spec.name.clone());
-    let claimed = match claim(front, &request, &account.name, is_idempotent).await? {
+    let claim_guard = match claim(front, &request, &account.name, is_idempotent).await? {
         ClaimOutcome::Replay(answer) => return Ok(answer),
         ClaimOutcome::Granted(granted) => Some(granted),
         ClaimOutcome::NotNeeded => None,
@@ -66,15 +69,15 @@
         prefix: hash_bytes(request.id.as_str().as_bytes()),
         print: request.print(&account.name),
         is_idempotent,
-        arrived: request.arrived,
+        arrived_at: request.arrived_at,
         deadline: request.deadline,
     };
     let front = Arc::clone(front);
-    // A claimed call runs to its end also when the caller leaves, so that its answer is kept.
+    // A non-idempotent request runs to completion even if the caller disconnects, so that its answer can be stored.
     let task = tokio::spawn(async move {
-        let run = run(&front, spec, &request, &path, in_flight).await;
-        settle(claimed, &run);
-        run
+        let outcome = run_call(&front, spec, &request, &path, in_flight).await;
+        record_outcome(claim_guard, &outcome);
+        outcome
     });
     let mut guard = AbortOnDrop {
         handle: Some(task.abort_handle()),
@@ -85,7 +88,7 @@
     outcome.map_err(|_| Refusal::from(ErrorKind::UpstreamLost))?
 }
 
-/// Ends a task with its caller, unless it has to run to its end.
+/// Aborts a task when its caller disconnects, unless the task must run to completion.
 struct AbortOnDrop {
     handle: Option<tokio::task::AbortHandle>,
     is_detached: bool,
@@ -99,73 +102,78 @@
     }
 }
 
-fn settle(claimed: Option<GrantedClaim>, run: &Result<CallerAnswer, Refusal>) {
-    let Some(granted) = claimed else {
+fn record_outcome(claim_guard: Option<GrantedClaim>, outcome: &Result<CallerResponse, Refusal>) {
+    let Some(granted) = claim_guard else {
         return;
     };
-    match run {
+    match outcome {
         Ok(answer) => {
-            let kept = answer.extensions().get::<KeptBody>();
-            let kind = answer.headers().get(CONTENT_TYPE);
-            let kind = kind.and_then(|kind| kind.to_str().ok());
-            let kind = kind.unwrap_or("application/octet-stream");
-            granted.answered(answer.status(), kind, kept.map(|kept| &*kept.0));
+            let stored_body = answer.extensions().get::<StoredBody>();
+            let content_type = answer.headers().get(CONTENT_TYPE);
+            let content_type = content_type.and_then(|value| value.to_str().ok());
+            let content_type = content_type.unwrap_or("application/octet-stream");
+            granted.record_answer(
+                answer.status(),
+                content_type,
+                stored_body.map(|stored_body| &*stored_body.0),
+            );
         }
-        Err(refusal) => granted.failed(refusal.kind),
+        Err(refusal) => granted.record_failure(refusal.kind),
     }
 }
 
-/// The body of an answer, beside the answer, for keeping.
+/// A copy of the response body, attached to the response as an extension so that the claim can store it.
 #[derive(Clone)]
-struct KeptBody(Bytes);
+struct StoredBody(Bytes);
 
-async fn run(
+async fn run_call(
     front: &Arc<FrontContext>,
     spec: CallSpec,
     request: &CallerRequest,
     path: &str,
     in_flight: InFlight,
-) -> Result<CallerAnswer, Refusal> {
+) -> Result<CallerResponse, Refusal> {
     let mut call = match CallContext::admit(front, spec, in_flight).await {
         Ok(call) => call,
         Err(refusal) => {
-            count(front, refusal.kind.code());
+            count_request(front, refusal.kind.code());
             return Err(refusal);
         }
     };
-    match attempts(&mut call, request, path).await {
+    match run_attempts(&mut call, request, path).await {
         Ok(reply) => {
-            let took = call.now().since(call.spec.arrived).as_secs_f64();
+            let latency = call.now().since(call.spec.arrived_at).as_secs_f64();
             let metrics = &front.shared.metrics;
             metrics
                 .first_token
                 .with_label_values(&["service"])
-                .observe(took);
-            count(front, "ok");
-            Ok(to_caller(reply, &call.spec.id))
+                .observe(latency);
+            count_request(front, "ok");
+            Ok(to_response(reply, &call.spec.id))
         }
         Err(kind) => {
-            let kind = call.truthful(kind);
-            let is_true = kind.response().ran != RanState::No || !call.maybe_ran();
-            Invariant::NotRunIsTrue.check(is_true, || format!("request={} {kind}", call.spec.id));
-            count(front, kind.code());
+            let kind = call.error_for_run_state(kind);
+            let is_truthful = kind.response().ran != RanState::No || !call.maybe_ran();
+            Invariant::NotRunIsTrue
+                .check(is_truthful, || format!("request={} {kind}", call.spec.id));
+            count_request(front, kind.code());
             Err(kind.into())
         }
     }
 }
 
-fn count(front: &FrontContext, outcome: &str) {
+fn count_request(front: &FrontContext, outcome: &str) {
     let requests = &front.shared.metrics.requests;
     requests.with_label_values(&["service", outcome]).inc();
 }
 
-async fn attempts(
+async fn run_attempts(
     call: &mut CallContext,
     request: &CallerRequest,
     path: &str,
 ) -> Result<ServiceReply, ErrorKind> {
     loop {
-        let (fact, attempt) = call.plan().await?;
+        let (fact, attempt) = call.plan_attempt().await?;
         let key = request.idempotency_key.as_deref();
         let outgoing = UpstreamRequest {
             method: request.method.clone(),
@@ -176,48 +184,48 @@
             headers: common_headers(call, request.headers.get(CONTENT_TYPE), key),
             body: request.body.clone(),
         };
-        let left = call.spec.deadline.since(call.now()).as_duration();
+        let time_left = call.spec.deadline.since(call.now()).as_duration();
         let sent_at = call.now();
-        call.note_sent(&fact);
+        call.record_sent(&fact);
         let attempt = attempt.send();
         let exchange = async {
             let reply = call.front.client.send(fact.addr, outgoing).await?;
-            read(reply).await
+            read_reply(reply).await
         };
-        match tokio::time::timeout(left, exchange).await {
+        match tokio::time::timeout(time_left, exchange).await {
             Ok(Ok(reply)) => {
                 attempt.answered();
-                call.note_first(&fact, sent_at);
-                call.note_ended(&fact, "ok");
-                call.note_whole();
+                call.record_first_response(&fact, sent_at);
+                call.record_attempt_ended(&fact, "ok");
+                call.record_complete_answer();
                 return Ok(reply);
             }
             Ok(Err(error)) => {
                 let outcome = sent_outcome(&error);
-                call.note_ended(&fact, outcome_name(outcome));
+                call.record_attempt_ended(&fact, outcome_name(outcome));
                 log::info!(
                     "event=attempt_failed request={} upstream={} reason={error:?}",
                     call.spec.id,
                     fact.id
                 );
                 if outcome == SentOutcome::Broken {
-                    call.note_break(&fact, 0).await;
+                    call.record_broken_attempt(&fact, 0).await;
                 }
                 let next = attempt.failed(outcome);
-                call.after_failure(&fact, FailedAttempt { outcome, next })?;
+                call.record_failed_attempt(&fact, FailedAttempt { outcome, next })?;
             }
             Err(_) => {
                 let outcome = SentOutcome::Broken;
-                call.note_ended(&fact, "deadline");
+                call.record_attempt_ended(&fact, "deadline");
                 let next = attempt.failed(outcome);
-                let _ = call.after_failure(&fact, FailedAttempt { outcome, next });
-                return Err(late(call));
+                let _ = call.record_failed_attempt(&fact, FailedAttempt { outcome, next });
+                return Err(deadline_error(call));
             }
         }
     }
 }
 
-async fn read(reply: UpstreamReply) -> Result<ServiceReply, bergamot_engine::Error> {
+async fn read_reply(reply: UpstreamReply) -> Result<ServiceReply, bergamot_engine::Error> {
     let (head, body) = reply.into_parts();
     let body = Limited::new(body, MAX_ANSWER_BYTES)
         .collect()
@@ -231,16 +239,18 @@
     })
 }
 
-fn to_caller(reply: ServiceReply, id: &RequestId) -> CallerAnswer {
-    let kind = reply.headers.get(CONTENT_TYPE);
-    let kind = kind.and_then(|kind| kind.to_str().ok());
-    let kind = kind.unwrap_or("application/octet-stream").to_owned();
-    let kept = KeptBody(reply.body.clone());
-    let mut answer: Response<_> = whole(reply.status, &kind, reply.body);
-    answer.extensions_mut().insert(kept);
-    if !answer.headers().contains_key(RAN) {
-        mark_ran(&mut answer);
+fn to_response(reply: ServiceReply, id: &RequestId) -> CallerResponse {
+    let content_type = reply.headers.get(CONTENT_TYPE);
+    let content_type = content_type.and_then(|value| value.to_str().ok());
+    let content_type = content_type
+        .unwrap_or("application/octet-stream")
+        .to_owned();
+    let stored_body = StoredBody(reply.body.clone());
+    let mut response: Response<_> = full_response(reply.status, &content_type, reply.body);
+    response.extensions_mut().insert(stored_body);
+    if !response.headers().contains_key(RAN) {
+        mark_ran(&mut response);
     }
-    name_request(&mut answer, id);
-    answer
+    set_request_id(&mut response, id);
+    response
 }
--- a/crates/entry/src/front/upstream.rs
+++ b/crates/entry/src/front/upstream.rs
@@ -1,4 +1,4 @@
-//! What goes to upstreams with a caller's request.
+//! Headers of requests to upstreams, and the interpretation of upstream failures.
 
 use bergamot_engine::Error;
 use bergamot_engine::headers::{
@@ -10,7 +10,7 @@
 
 use super::call::CallContext;
 
-/// The headers every upstream gets.
+/// Returns the headers that are sent to every upstream.
 pub fn common_headers(
     call: &CallContext,
     content_type: Option<&HeaderValue>,
@@ -20,32 +20,32 @@
     if let Some(content_type) = content_type {
         headers.insert(CONTENT_TYPE, content_type.clone());
     }
-    put(&mut headers, REQUEST_ID, call.spec.id.as_str());
-    put(&mut headers, PRIORITY, &call.spec.priority.to_string());
-    let left = call.spec.deadline.since(call.now());
-    put(&mut headers, DEADLINE, &left.to_string());
+    insert_header(&mut headers, REQUEST_ID, call.spec.id.as_str());
+    insert_header(&mut headers, PRIORITY, &call.spec.priority.to_string());
+    let time_left = call.spec.deadline.since(call.now());
+    insert_header(&mut headers, DEADLINE, &time_left.to_string());
     if let Some(key) = idempotency_key {
-        put(&mut headers, IDEMPOTENCY_KEY, key);
+        insert_header(&mut headers, IDEMPOTENCY_KEY, key);
     }
     headers
 }
 
-/// The headers that tell an engine which group is meant and where to go on.
+/// Adds the headers that state the expected group and epoch and the offset at which the stream resumes.
 pub fn group_headers(headers: &mut HeaderMap, fact: &UpstreamFact, offset: u64) {
-    put(headers, GROUP, fact.id.as_str());
-    put(headers, EPOCH, &fact.epoch.to_string());
+    insert_header(headers, GROUP, fact.id.as_str());
+    insert_header(headers, EPOCH, &fact.epoch.to_string());
     if offset > 0 {
-        put(headers, RESUME, &offset.to_string());
+        insert_header(headers, RESUME, &offset.to_string());
     }
 }
 
-fn put(headers: &mut HeaderMap, name: &'static str, value: &str) {
+fn insert_header(headers: &mut HeaderMap, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(HeaderName::from_static(name), value);
     }
 }
 
-/// What an upstream's failure says about whether the request ran.
+/// Classifies an upstream failure by whether the request may have run.
 pub fn sent_outcome(error: &Error) -> SentOutcome {
     match error {
         Error::NeverConnected(_) => SentOutcome::NeverConnected,
@@ -54,7 +54,7 @@
     }
 }
 
-/// The name of a failure in metrics.
+/// Returns the name of a failure in metrics.
 pub fn outcome_name(outcome: SentOutcome) -> &'static str {
     match outcome {
         SentOutcome::NeverConnected => "never_connected",
@@ -63,8 +63,9 @@
     }
 }
 
-/// The error when the deadline passes during an attempt.
-pub fn late(call: &CallContext) -> ErrorKind {
+/// Returns the error for an attempt that ended without an answer: the deadline error if the deadline has passed, else
+/// the error for a lost upstream.
+pub fn deadline_error(call: &CallContext) -> ErrorKind {
     match call.now() >= call.spec.deadline {
         true => ErrorKind::DeadlineAfterSend,
         false => ErrorKind::UpstreamLost,
