--- a/crates/entry/src/control/event.rs
+++ b/crates/entry/src/control/event.rs
@@ -1,4 +1,4 @@
-//! What control has to know of and what it wants done.
+//! Inputs and outputs of the control state machine.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,114 +12,114 @@
 
 use crate::route_view::RouteView;
 
-/// Something control has to know of.
+/// An input of the control state machine.
 #[derive(Clone, Debug)]
 pub enum ControlEvent {
-    /// Time passed.
+    /// A timer fired.
     Tick,
-    /// A key was read, by a read begun at `started`.
+    /// A read of a key succeeded.
     Read {
         /// The key.
         key: String,
-        /// Its entry; none if it is absent.
+        /// The key's entry, or `None` if the key is absent.
         entry: Option<KvEntry>,
-        /// When the read began.
+        /// When the read was started.
         started: Millis,
     },
-    /// A key was not read.
+    /// A read of a key failed.
     ReadFailed {
         /// The key.
         key: String,
     },
-    /// A compare-and-swap ended.
+    /// A compare-and-swap completed.
     Swapped {
         /// The key.
         key: String,
-        /// The nonce in the value.
+        /// The nonce in the value, which identifies the swap.
         nonce: u64,
-        /// How it ended.
+        /// The result of the swap.
         outcome: SwapOutcome,
     },
     /// The VM list was read.
     Listed(Vec<VmFact>),
-    /// A datagram came in from this address.
+    /// A datagram was received from this address.
     Datagram(Box<Datagram>, SocketAddr),
-    /// A peer gave its roll.
+    /// A peer sent its roll and the signed bundle.
     PeerRoll(Box<(RollRecord, SignedBundle)>),
-    /// A peer gave its roster.
+    /// A peer sent its roster.
     PeerRoster(RosterRecord),
-    /// A peer gave its records of groups.
+    /// A peer sent its group records.
     PeerGroups(Vec<GroupsEntry>),
-    /// An engine was asked at `asked`; none if it did not answer.
+    /// A probe of an engine completed.
     Report {
-        /// Whose engine.
+        /// The engine's VM.
         vm: VmId,
-        /// When it was asked.
+        /// When the probe was sent.
         asked: Millis,
-        /// What it said.
+        /// The engine's report, or `None` if the engine did not answer.
         report: Option<EngineReport>,
     },
-    /// An order was answered or given up.
+    /// An order was answered or abandoned.
     Ordered {
-        /// Whose engine.
+        /// The engine's VM.
         vm: VmId,
     },
-    /// Claims have settled on an epoch.
+    /// The claims duty has settled on this roster epoch.
     ClaimsSettled(u64),
-    /// What this VM could lend of each account's limit.
+    /// The part of each account's limit that this VM could lend.
     Slack(Vec<DemandFact>),
     /// The daemon is stopping.
     Stopping,
 }
 
-/// An engine to ask.
+/// An engine to probe or to send an order to.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct ProbeTarget {
-    /// Its VM.
+    /// The engine's VM.
     pub vm: VmId,
-    /// Where it listens.
+    /// The address the engine listens on.
     pub addr: SocketAddr,
 }
 
-/// Something control wants done.
+/// An output of the control state machine, for the duty to carry out.
 #[derive(Clone, Debug)]
 pub enum ControlAction {
     /// Read a key.
     Read(String),
-    /// Write a key if it is still at this revision.
+    /// Write a key if its revision is unchanged.
     Swap {
         /// The key.
         key: String,
-        /// The revision it must have; zero if it must be absent.
+        /// The expected revision; zero if the key must be absent.
         expected: i64,
-        /// The value.
+        /// The value to write.
         value: Vec<u8>,
-        /// The nonce in the value.
+        /// The nonce in the value, which identifies the swap.
         nonce: u64,
     },
     /// Send a datagram.
     Send(SocketAddr, Box<Datagram>),
-    /// Ask a peer for a roll newer than this.
+    /// Query a peer for a roll newer than this number.
     AskRoll(SocketAddr, u64),
-    /// Ask a peer for its roster.
+    /// Query a peer for its roster.
     AskRoster(SocketAddr),
-    /// Ask a peer for its records of groups.
+    /// Query a peer for its group records.
     AskGroups(SocketAddr),
-    /// Ask an engine for its report.
+    /// Query an engine for its report.
     Probe(ProbeTarget),
-    /// Give an engine an order.
+    /// Send an order to an engine.
     Order {
-        /// The engine.
+        /// The engine that receives the order.
         target: ProbeTarget,
-        /// What to do.
+        /// The order.
         order: VmOrder,
     },
     /// The roster changed.
     Roster(RosterRecord),
-    /// Routes changed.
+    /// Publish a new snapshot of the routes.
     Publish(Arc<RouteView>),
-    /// A roll was adopted.
+    /// A roll with this number and bundle was adopted.
     Adopted(u64, BundleDigest),
-    /// Something for the log.
+    /// Write a line to the log.
     Note(String),
 }
--- a/crates/entry/src/control/evidence.rs
+++ b/crates/entry/src/control/evidence.rs
@@ -1,4 +1,4 @@
-//! Probes, reports and what peers tell of groups.
+//! Evidence that groups are healthy, from this VM's probes and from peers' datagrams.
 
 use std::net::SocketAddr;
 
@@ -12,41 +12,46 @@
 use indexmap::IndexMap;
 
 use super::event::ControlAction;
-use super::state::{ControlState, GroupNews};
+use super::state::{ControlState, GroupEvidence};
 
-/// Entry VMs that probe each group.
-const PROBERS: usize = 2;
-/// Facts about groups in each datagram.
-const EVIDENCE_PER_DATAGRAM: usize = 40;
-/// Facts about accounts in each datagram.
-const DEMAND_PER_DATAGRAM: usize = 20;
+/// Number of entry VMs in a failure domain that probe each group.
+const PROBERS_PER_GROUP: usize = 2;
+/// Maximum number of evidence facts per datagram.
+const MAX_EVIDENCE_PER_DATAGRAM: usize = 40;
+/// Maximum number of demand facts per datagram.
+const MAX_DEMAND_PER_DATAGRAM: usize = 20;
 
 impl ControlState {
     pub(super) fn datagram(&mut self, now: Millis, beat: Heartbeat) -> Datagram {
-        // What this VM probed itself goes first; what it was told goes round.
-        let fresh = |news: &GroupNews| now.since(news.oldest) < self.options.evidence_max_age;
-        let (own, told): (Vec<_>, Vec<_>) = self
-            .news
+        // Evidence from this VM's own probes precedes evidence relayed from peers. If not all of
+        // it fits, successive datagrams start at rotating offsets.
+        let is_fresh = |evidence: &GroupEvidence| {
+            now.since(evidence.oldest_at) < self.options.evidence_max_age
+        };
+        let (own_evidence, relayed_evidence): (Vec<_>, Vec<_>) = self
+            .evidence_by_group
             .iter()
-            .filter(|(_, news)| fresh(news))
-            .partition(|(_, news)| news.is_own);
-        let size = own.len() + told.len();
-        let all: Vec<_> = own.into_iter().chain(told).collect();
-        self.news_rotation = self.news_rotation.wrapping_add(EVIDENCE_PER_DATAGRAM);
-        let start = match size > EVIDENCE_PER_DATAGRAM {
-            true => self.news_rotation % size,
+            .filter(|(_, evidence)| is_fresh(evidence))
+            .partition(|(_, evidence)| evidence.is_own);
+        let fact_count = own_evidence.len() + relayed_evidence.len();
+        let ordered: Vec<_> = own_evidence.into_iter().chain(relayed_evidence).collect();
+        self.evidence_rotation = self
+            .evidence_rotation
+            .wrapping_add(MAX_EVIDENCE_PER_DATAGRAM);
+        let start = match fact_count > MAX_EVIDENCE_PER_DATAGRAM {
+            true => self.evidence_rotation % fact_count,
             false => 0,
         };
-        let evidence = (0..size.min(EVIDENCE_PER_DATAGRAM))
-            .map(|step| all[(start + step) % size])
-            .map(|(id, news)| EvidenceFact {
+        let evidence = (0..fact_count.min(MAX_EVIDENCE_PER_DATAGRAM))
+            .map(|step| ordered[(start + step) % fact_count])
+            .map(|(id, evidence)| EvidenceFact {
                 group: EvidenceFact::group_hash(id),
-                epoch: news.epoch,
-                age: now.since(news.oldest).0.min(u64::from(u16::MAX)) as u16,
-                load: news.load,
+                epoch: evidence.epoch,
+                age: now.since(evidence.oldest_at).0.min(u64::from(u16::MAX)) as u16,
+                load: evidence.load,
             })
             .collect();
-        let demand = self.slack.iter().take(DEMAND_PER_DATAGRAM);
+        let demand = self.slack.iter().take(MAX_DEMAND_PER_DATAGRAM);
         Datagram {
             beat,
             roll: self.rolls.number(),
@@ -55,7 +60,7 @@
         }
     }
 
-    pub(super) fn take_datagram(
+    pub(super) fn handle_datagram(
         &mut self,
         now: Millis,
         datagram: &Datagram,
@@ -66,31 +71,32 @@
         let record = self.roster.record();
         let sender = record.member(&beat.from);
         let is_known = sender.is_some_and(|m| m.peer_addr == from);
-        if beat.epoch > record.epoch && self.may_ask(now, "roster") {
+        if beat.epoch > record.epoch && self.try_start_query(now, "roster") {
             actions.push(ControlAction::AskRoster(from));
         }
         if !is_known {
             return;
         }
-        if datagram.roll > self.rolls.number() && self.may_ask(now, "roll") {
+        if datagram.roll > self.rolls.number() && self.try_start_query(now, "roll") {
             actions.push(ControlAction::AskRoll(from, self.rolls.number()));
         }
         self.peer_rolls.insert(beat.from.clone(), datagram.roll);
         self.peer_slack
             .insert(beat.from.clone(), (now, datagram.demand.clone()));
-        let has_unknown = self.take_evidence(now, &datagram.evidence);
-        if has_unknown && self.may_ask(now, "groups") {
+        let has_unknown_group = self.handle_peer_evidence(now, &datagram.evidence);
+        if has_unknown_group && self.try_start_query(now, "groups") {
             actions.push(ControlAction::AskGroups(from));
         }
         self.roster_event(now, RosterEvent::Heartbeat(beat.clone()), actions);
     }
 
-    /// Notes what a peer saw; true if it saw a group that the records here do not have.
-    fn take_evidence(&mut self, now: Millis, facts: &[EvidenceFact]) -> bool {
+    /// Records evidence from a peer. Returns whether the peer reported a group that is missing from
+    /// the local records.
+    fn handle_peer_evidence(&mut self, now: Millis, facts: &[EvidenceFact]) -> bool {
         if facts.is_empty() {
             return false;
         }
-        let mut has_unknown = false;
+        let mut has_unknown_group = false;
         let by_hash: IndexMap<u32, GroupId> = self
             .placements
             .values()
@@ -100,31 +106,32 @@
             .collect();
         for fact in facts {
             let Some(id) = by_hash.get(&fact.group) else {
-                has_unknown = true;
+                has_unknown_group = true;
                 continue;
             };
-            let news = GroupNews {
+            let evidence = GroupEvidence {
                 epoch: fact.epoch,
-                oldest: now - Millis(u64::from(fact.age)),
+                oldest_at: now - Millis(u64::from(fact.age)),
                 load: fact.load,
                 is_own: false,
             };
-            self.take_news(now, id, news);
+            self.record_evidence(now, id, evidence);
         }
-        has_unknown
+        has_unknown_group
     }
 
-    /// Notes newer evidence of a group, and lets its coordinator know of its members by it.
-    fn take_news(&mut self, now: Millis, id: &GroupId, news: GroupNews) {
+    /// Records evidence of a group unless newer evidence is known. If this VM coordinates the group,
+    /// evidence from a peer also counts as a report of every member.
+    fn record_evidence(&mut self, now: Millis, id: &GroupId, evidence: GroupEvidence) {
         let is_older = self
-            .news
+            .evidence_by_group
             .get(id)
-            .is_some_and(|old| (old.epoch, old.oldest) >= (news.epoch, news.oldest));
+            .is_some_and(|old| (old.epoch, old.oldest_at) >= (evidence.epoch, evidence.oldest_at));
         if is_older {
             return;
         }
-        self.news.insert(id.clone(), news);
-        if news.is_own {
+        self.evidence_by_group.insert(id.clone(), evidence);
+        if evidence.is_own {
             return;
         }
         let coordinated = self.placements.values_mut().filter(|p| p.is_coordinator());
@@ -132,7 +139,7 @@
             let Some(record) = placement.record() else {
                 continue;
             };
-            let Some(group) = record.groups.get(id).filter(|g| g.epoch == news.epoch) else {
+            let Some(group) = record.groups.get(id).filter(|g| g.epoch == evidence.epoch) else {
                 continue;
             };
             let report = EngineReport {
@@ -141,7 +148,7 @@
                 term: record.term,
                 model: Some(group.model.clone()),
                 phase: EnginePhase::Ready,
-                running: u32::from(news.load),
+                running: u32::from(evidence.load),
                 queued: 0,
                 warm: vec![group.model.clone()],
             };
@@ -149,7 +156,7 @@
             for vm in members {
                 let event = PlacementEvent::Report {
                     vm,
-                    asked: news.oldest,
+                    asked: evidence.oldest_at,
                     report: report.clone(),
                 };
                 placement.handle(now, event);
@@ -157,7 +164,7 @@
         }
     }
 
-    pub(super) fn take_report(
+    pub(super) fn handle_report(
         &mut self,
         now: Millis,
         vm: VmId,
@@ -166,7 +173,7 @@
     ) {
         let Some(report) = report else {
             self.reports.swap_remove(&vm);
-            self.drop_news_of(&vm);
+            self.discard_group_evidence(&vm);
             if let Some(placement) = self.placement_of(&vm) {
                 placement.handle(now, PlacementEvent::Unanswered { vm, asked });
             }
@@ -182,22 +189,23 @@
             report,
         };
         placement.handle(now, event);
-        self.judge_group_of(now, &vm);
+        self.refresh_group_evidence(now, &vm);
     }
 
-    /// What was known of a group is void once a member did not answer; dispatch asks anew.
-    fn drop_news_of(&mut self, vm: &VmId) {
+    /// Discards the evidence of a group after a member did not answer, so that dispatch requires
+    /// new evidence.
+    fn discard_group_evidence(&mut self, vm: &VmId) {
         let fabric = self.vms.get(vm).map(|fact| fact.fabric_domain.clone());
         let placement = fabric.and_then(|fabric| self.placements.get(&fabric));
         let record = placement.and_then(|placement| placement.record());
         let usage = record.and_then(|record| record.vms.get(vm));
         if let Some(VmUse::Member(id)) = usage.map(|slot| &slot.usage) {
-            self.news.swap_remove(&id.clone());
+            self.evidence_by_group.swap_remove(&id.clone());
         }
     }
 
-    /// Works out anew whether the group of a VM is whole.
-    fn judge_group_of(&mut self, now: Millis, vm: &VmId) {
+    /// Recomputes the evidence of a VM's group from the members' reports.
+    fn refresh_group_evidence(&mut self, now: Millis, vm: &VmId) {
         let Some(fact) = self.vms.get(vm) else {
             return;
         };
@@ -210,31 +218,31 @@
         };
         let id = id.clone();
         let epoch = record.groups.get(&id).map_or(0, |group| group.epoch);
-        let Some(evidence) = group_evidence(record, &id, &self.reports) else {
+        let Some(reported) = group_evidence(record, &id, &self.reports) else {
             let is_complete = record
                 .members(&id)
                 .all(|(vm, _)| self.reports.contains_key(vm));
             if is_complete {
-                self.news.swap_remove(&id);
+                self.evidence_by_group.swap_remove(&id);
             }
             return;
         };
-        let news = GroupNews {
+        let evidence = GroupEvidence {
             epoch,
-            oldest: evidence.oldest_at,
-            load: (evidence.running + evidence.queued).min(u32::from(u16::MAX)) as u16,
+            oldest_at: reported.oldest_at,
+            load: (reported.running + reported.queued).min(u32::from(u16::MAX)) as u16,
             is_own: true,
         };
-        self.take_news(now, &id, news);
+        self.record_evidence(now, &id, evidence);
     }
 
-    /// Asks the engines that are this VM's to ask now.
-    pub(super) fn probe_due(&mut self, now: Millis, actions: &mut Vec<ControlAction>) {
+    /// Probes the engines that this VM is responsible for and whose probe is due.
+    pub(super) fn probe_due_engines(&mut self, now: Millis, actions: &mut Vec<ControlAction>) {
         let mut due: Vec<VmId> = Vec::new();
         for placement in self.placements.values() {
-            let leads = placement.is_coordinator();
+            let is_coordinator = placement.is_coordinator();
             let Some(record) = placement.record() else {
-                // Before the first record a coordinator has to see who is there.
+                // Without a record it is not known which VMs the domain has.
                 continue;
             };
             for (vm, slot) in &record.vms {
@@ -242,41 +250,42 @@
                     VmUse::Member(id) => record.groups.get(id).map(|group| (id, group)),
                     VmUse::Free | VmUse::Evicted(_) => None,
                 };
-                let is_mine = match group {
+                let is_probed_here = match group {
                     Some((id, group)) if group.phase == GroupPhase::Serving => {
-                        self.own_probes.contains(id)
-                            || (leads && self.is_unsure(now, id, group.epoch))
+                        self.probed_groups.contains(id)
+                            || (is_coordinator
+                                && self.needs_coordinator_probe(now, id, group.epoch))
                     }
-                    _ => leads,
+                    _ => is_coordinator,
                 };
-                if is_mine {
+                if is_probed_here {
                     due.push(vm.clone());
                 }
             }
         }
         for vm in due {
-            let is_asked = self
-                .probed
+            let was_queried_recently = self
+                .probed_at
                 .get(&vm)
                 .is_some_and(|at| now.since(*at) < self.options.probe_period);
             let is_engine = self
                 .vms
                 .get(&vm)
                 .is_some_and(|fact| fact.kind == VmKind::Engine);
-            if is_asked || !is_engine {
+            if was_queried_recently || !is_engine {
                 continue;
             }
             if let Some(target) = self.target(&vm) {
-                self.probed.insert(vm, now);
+                self.probed_at.insert(vm, now);
                 actions.push(ControlAction::Probe(target));
             }
         }
     }
 
-    /// Works out which serving groups of this failure domain are this VM's to probe.
-    pub(super) fn choose_probes(&mut self) {
+    /// Selects the groups of this failure domain that this VM probes.
+    pub(super) fn choose_probed_groups(&mut self) {
         let me = self.me().entry.clone();
-        let near: Vec<EntryId> = self
+        let trusted_members: Vec<EntryId> = self
             .roster
             .trusted_in_domain()
             .map(|member| member.entry.clone())
@@ -286,24 +295,28 @@
         let groups = records
             .filter(|record| record.failure_domain == *domain)
             .flat_map(|record| record.groups.keys());
-        let own = groups.filter(|id| is_prober(id, &me, &near));
-        self.own_probes = own.cloned().collect();
+        let own = groups.filter(|id| is_prober(id, &me, &trusted_members));
+        self.probed_groups = own.cloned().collect();
     }
 
-    /// Whether there is too little news of a group for its coordinator to be at ease.
-    fn is_unsure(&self, now: Millis, id: &GroupId, epoch: u32) -> bool {
-        let Some(news) = self.news.get(id) else {
+    /// Whether the coordinator has to probe a group itself because evidence of the current epoch is
+    /// missing or older than half the maximum age.
+    fn needs_coordinator_probe(&self, now: Millis, id: &GroupId, epoch: u32) -> bool {
+        let Some(evidence) = self.evidence_by_group.get(id) else {
             return true;
         };
-        news.epoch != epoch || now.since(news.oldest).0 * 2 > self.options.evidence_max_age.0
+        evidence.epoch != epoch
+            || now.since(evidence.oldest_at).0 * 2 > self.options.evidence_max_age.0
     }
 }
 
-/// Whether fewer than [`PROBERS`] others come before `me` for a group.
-fn is_prober(id: &GroupId, me: &EntryId, near: &[EntryId]) -> bool {
+/// Whether `me` is among the [`PROBERS_PER_GROUP`] highest-ranked probers of a group.
+fn is_prober(id: &GroupId, me: &EntryId, trusted_members: &[EntryId]) -> bool {
     let key = hash_bytes(id.as_str().as_bytes());
     let rank = |entry: &EntryId| (rendezvous_score(key, entry.as_str()), entry.clone());
-    let mine = rank(me);
-    let before = near.iter().filter(|entry| rank(entry) > mine);
-    before.take(PROBERS).count() < PROBERS
+    let own_rank = rank(me);
+    let higher_ranked = trusted_members
+        .iter()
+        .filter(|entry| rank(entry) > own_rank);
+    higher_ranked.take(PROBERS_PER_GROUP).count() < PROBERS_PER_GROUP
 }
--- a/crates/entry/src/control/lead.rs
+++ b/crates/entry/src/control/lead.rs
@@ -1,4 +1,4 @@
-//! Who coordinates which fabric domain, and what should run where.
+//! Selects coordinators of fabric domains and distributes the wanted replicas.
 
 use bergamot_bundle::stage::StageHealth;
 use bergamot_bundle::{GateOutcome, StageGate};
@@ -13,10 +13,10 @@
 
 use super::event::ControlAction;
 use super::keys::group_key;
-use super::state::{ControlState, note};
+use super::state::{ControlState, log_line};
 
 impl ControlState {
-    pub(super) fn list_to_placements(&mut self, now: Millis) {
+    pub(super) fn forward_vm_list(&mut self, now: Millis) {
         for (fabric, placement) in &mut self.placements {
             let listings = self
                 .vms
@@ -33,9 +33,10 @@
         }
     }
 
-    /// The first trusted member of a failure domain by rendezvous coordinates a fabric domain.
-    pub(super) fn choose_leads(&mut self, now: Millis) {
-        let near: Vec<String> = self
+    /// Decides which fabric domains this VM coordinates. The trusted member of the failure domain
+    /// that rendezvous hashing ranks first coordinates a fabric domain.
+    pub(super) fn choose_coordinators(&mut self, now: Millis) {
+        let trusted_members: Vec<String> = self
             .roster
             .trusted_in_domain()
             .map(|member| member.entry.to_string())
@@ -51,23 +52,24 @@
         for (fabric, placement) in &mut self.placements {
             let key = hash_bytes(fabric.as_str().as_bytes());
             let is_home = home.contains(fabric);
-            let first = rendezvous_rank(key, &near).into_iter().next();
-            let leads = is_home && is_member && first.is_some_and(|f| f == me.entry.as_str());
-            placement.handle(now, PlacementEvent::Lead(leads));
+            let first = rendezvous_rank(key, &trusted_members).into_iter().next();
+            let is_coordinator =
+                is_home && is_member && first.is_some_and(|f| f == me.entry.as_str());
+            placement.handle(now, PlacementEvent::Lead(is_coordinator));
         }
     }
 
-    /// Shares the wanted replicas out and tells the fabric domains coordinated here.
-    pub(super) fn share_wanted(&mut self, now: Millis) {
-        let Some(force) = self.force().cloned() else {
+    /// Distributes the wanted replicas over the fabric domains and passes each its share.
+    pub(super) fn distribute_wanted(&mut self, now: Millis) {
+        let Some(active_bundle) = self.force().cloned() else {
             return;
         };
         let capacities = self.capacities(now);
-        let shares = distribute_replicas(&force.document.models, &capacities);
-        self.note_forming(now);
+        let shares = distribute_replicas(&active_bundle.document.models, &capacities);
+        self.track_forming_groups(now);
         let health = self.stage_health(now, &shares);
         let gate = StageGate::default();
-        let mut stopped = None;
+        let mut stop_reason = None;
         for (fabric, models) in shares {
             let Some(placement) = self.placements.get_mut(&fabric) else {
                 continue;
@@ -75,23 +77,23 @@
             let domain = placement_domain(placement);
             let outcome = domain.map(|domain| gate.outcome(&domain, &health));
             if let Some(GateOutcome::Stopped(by)) = &outcome {
-                stopped = Some(format!("stopped by {by}"));
+                stop_reason = Some(format!("stopped by {by}"));
             }
             let event = PlacementEvent::Wanted {
-                roll: force.record.number,
+                roll: active_bundle.record.number,
                 models,
                 may_replace: matches!(outcome, None | Some(GateOutcome::Open)),
             };
             placement.handle(now, event);
         }
-        if stopped.is_some() && stopped != self.gate {
+        if stop_reason.is_some() && stop_reason != self.roll_stop_reason {
             log::warn!(
                 "event=roll_stopped number={} gate={:?}",
-                force.record.number,
-                stopped
+                active_bundle.record.number,
+                stop_reason
             );
         }
-        self.gate = stopped;
+        self.roll_stop_reason = stop_reason;
     }
 
     fn capacities(&self, now: Millis) -> IndexMap<FabricDomain, DomainCapacity> {
@@ -120,7 +122,7 @@
         capacities
     }
 
-    fn note_forming(&mut self, now: Millis) {
+    fn track_forming_groups(&mut self, now: Millis) {
         let forming: Vec<GroupId> = self
             .placements
             .values()
@@ -141,11 +143,11 @@
         shares: &IndexMap<FabricDomain, Vec<WantedModel>>,
     ) -> IndexMap<FailureDomain, StageHealth> {
         let mut health: IndexMap<FailureDomain, StageHealth> = IndexMap::new();
-        let Some(force) = self.force() else {
+        let Some(active_bundle) = self.force() else {
             return health;
         };
         let is_current = |model: &bergamot_placement::ModelRef| {
-            let models = force.document.models.iter();
+            let models = active_bundle.document.models.iter();
             models.map(model_ref).any(|current| current == *model)
         };
         for (fabric, models) in shares {
@@ -178,11 +180,11 @@
             }
         }
         for (fabric, action) in wanted {
-            self.carry_out(&fabric, action, actions);
+            self.apply_placement_action(&fabric, action, actions);
         }
     }
 
-    fn carry_out(
+    fn apply_placement_action(
         &self,
         fabric: &FabricDomain,
         action: PlacementAction,
@@ -207,7 +209,7 @@
                 let Some(target) = self.target(&vm) else {
                     return;
                 };
-                actions.push(note(format!(
+                actions.push(log_line(format!(
                     "event=order_sent vm={vm} group={} epoch={} term={} kind={}",
                     order.group.as_ref().map_or("-", |id| id.as_str()),
                     order.epoch,
--- a/crates/entry/src/control/mod.rs
+++ b/crates/entry/src/control/mod.rs
@@ -1,7 +1,7 @@
-//! Everything one entry VM decides besides single requests: roster, roll, groups, evidence.
+//! Decisions of an entry VM that do not concern single requests: roster, roll, groups, evidence.
 //!
-//! One state, one event in, actions out. The duty thread, the tests and the golden sessions
-//! drive this same code.
+//! A pure state machine that takes events and returns actions. The duty thread, the tests and the
+//! golden sessions all drive this code.
 
 mod event;
 mod evidence;
--- a/crates/entry/src/control/route.rs
+++ b/crates/entry/src/control/route.rs
@@ -1,4 +1,4 @@
-//! The snapshot for the callers' side, and the dump of groups.
+//! Publishes the route snapshot for callers' requests and dumps groups for operators.
 
 use std::sync::Arc;
 
@@ -14,8 +14,8 @@
 use super::state::ControlState;
 use crate::route_view::{GroupRoute, RouteView};
 
-/// Age up to which a peer's offer to lend counts.
-const SLACK_MAX_AGE: Millis = Millis(5_000);
+/// Maximum age of a peer's offer to lend part of a limit.
+const LOAN_OFFER_MAX_AGE: Millis = Millis(5_000);
 
 impl ControlState {
     pub(super) fn publish(&mut self, now: Millis, actions: &mut Vec<ControlAction>) {
@@ -52,7 +52,7 @@
         actions.push(ControlAction::Publish(Arc::new(view)));
     }
 
-    /// Whether the record and the VM list let a group serve; evidence is checked at dispatch.
+    /// Whether the record and the VM list allow routing to a group. Evidence is checked at dispatch.
     fn is_routable(&self, record: &DomainRecord, id: &GroupId, group: &GroupRecord) -> bool {
         let is_staying = |vm: &VmId| {
             let fact = self.vms.get(vm);
@@ -77,16 +77,19 @@
         let Some((_, leader)) = members.first() else {
             return;
         };
-        let news = self.news.get(id).filter(|news| news.epoch == group.epoch);
+        let evidence = self
+            .evidence_by_group
+            .get(id)
+            .filter(|evidence| evidence.epoch == group.epoch);
         let upstream = UpstreamId::new(id.as_str());
         let fact = UpstreamFact {
             id: upstream.clone(),
             addr: *leader,
             epoch: group.epoch,
             failure_domain: record.failure_domain.clone(),
-            evidence_at: news.map_or(Millis::ZERO, |news| news.oldest),
-            reported: news.map_or(0, |news| u32::from(news.load)),
-            reported_at: news.map_or(Millis::ZERO, |news| news.oldest),
+            evidence_at: evidence.map_or(Millis::ZERO, |evidence| evidence.oldest_at),
+            reported: evidence.map_or(0, |evidence| u32::from(evidence.load)),
+            reported_at: evidence.map_or(Millis::ZERO, |evidence| evidence.oldest_at),
         };
         view.models
             .entry(group.model.name.clone())
@@ -108,8 +111,9 @@
             if fact.state != VmState::Live {
                 continue;
             }
-            // A service has no group to be part of: being listed is all there is to know.
-            let runner = UpstreamFact {
+            // A service VM belongs to no group and is not probed here, so its listing counts as
+            // evidence.
+            let instance = UpstreamFact {
                 id: UpstreamId::new(fact.vm.as_str()),
                 addr: fact.addr,
                 epoch: 0,
@@ -118,14 +122,17 @@
                 reported: 0,
                 reported_at: Millis::ZERO,
             };
-            view.services.entry(name.clone()).or_default().push(runner);
+            view.services
+                .entry(name.clone())
+                .or_default()
+                .push(instance);
         }
     }
 
     fn lenders(&self, now: Millis) -> IndexMap<u32, Vec<(EntryId, u16)>> {
         let mut lenders: IndexMap<u32, Vec<(EntryId, u16)>> = IndexMap::new();
         for (entry, (at, facts)) in &self.peer_slack {
-            if now.since(*at) > SLACK_MAX_AGE || !self.roster.is_trusted(entry) {
+            if now.since(*at) > LOAN_OFFER_MAX_AGE || !self.roster.is_trusted(entry) {
                 continue;
             }
             for DemandFact { account, slack } in facts {
@@ -150,14 +157,14 @@
             .iter()
             .flat_map(|record| record.groups.iter().map(move |entry| (*record, entry)))
             .map(|(record, (id, group))| {
-                let news = self.news.get(id);
+                let evidence = self.evidence_by_group.get(id);
                 serde_json::json!({
                     "group": id,
                     "record": group,
                     "members": record.members(id).map(|(vm, _)| vm).collect::<Vec<_>>(),
-                    "evidence_age_ms": news.map(|news| now.since(news.oldest).0),
-                    "evidence_epoch": news.map(|news| news.epoch),
-                    "load": news.map(|news| news.load),
+                    "evidence_age_ms": evidence.map(|evidence| now.since(evidence.oldest_at).0),
+                    "evidence_epoch": evidence.map(|evidence| evidence.epoch),
+                    "load": evidence.map(|evidence| evidence.load),
                 })
             })
             .collect();
--- a/crates/entry/src/control/state.rs
+++ b/crates/entry/src/control/state.rs
@@ -1,4 +1,4 @@
-//! The state and the dispatch of events.
+//! The control state and its event dispatch.
 
 use bergamot_bundle::roll::ActiveBundle;
 use bergamot_bundle::{BundleDigest, KeyRing, RollAdopter, RollRecord};
@@ -14,33 +14,33 @@
 use super::keys::{GROUP_PREFIX, ROLL_KEY, ROSTER_KEY, group_key};
 use super::sync::RosterSwap;
 
-/// Settings of control.
+/// Settings of the control state machine.
 #[derive(Clone, Debug)]
 pub struct ControlOptions {
-    /// Heartbeats and suspicion.
+    /// Settings of heartbeats and failure detection.
     pub roster: RosterOptions,
-    /// Groups.
+    /// Settings of group placement.
     pub placement: PlacementOptions,
-    /// Time between probes of one engine.
+    /// Interval between probes of an engine.
     pub probe_period: Millis,
-    /// Age up to which evidence allows dispatch.
+    /// Maximum age of evidence that allows dispatch to a group.
     pub evidence_max_age: Millis,
-    /// Time in which a group of a new roll must come up.
+    /// How long a group of a new roll may take to start serving.
     pub gate_timeout: Millis,
-    /// The operators that are trusted.
+    /// Keys of the trusted operators.
     pub operators: KeyRing,
 }
 
-/// What is known of one group from probes and from peers.
+/// Evidence that a group was healthy, from own probes or from peers.
 #[derive(Clone, Copy, Debug, serde::Serialize)]
-pub(super) struct GroupNews {
+pub(super) struct GroupEvidence {
     pub(super) epoch: u32,
-    pub(super) oldest: Millis,
+    pub(super) oldest_at: Millis,
     pub(super) load: u16,
     pub(super) is_own: bool,
 }
 
-/// Everything one entry VM decides besides single requests.
+/// The state behind an entry VM's decisions that do not concern single requests.
 pub struct ControlState {
     pub(super) options: ControlOptions,
     pub(super) roster: RosterState,
@@ -48,34 +48,34 @@
     pub(super) roster_swap: Option<RosterSwap>,
     pub(super) roster_read: bool,
     pub(super) rolls: RollAdopter,
-    pub(super) offered: Option<RollRecord>,
-    pub(super) asked_bundle: Option<(BundleDigest, Millis)>,
-    pub(super) asked_peer: IndexMap<&'static str, Millis>,
+    pub(super) offered_roll: Option<RollRecord>,
+    pub(super) requested_bundle: Option<(BundleDigest, Millis)>,
+    pub(super) queried_at: IndexMap<&'static str, Millis>,
     pub(super) placements: IndexMap<FabricDomain, PlacementState>,
     pub(super) vms: IndexMap<VmId, VmFact>,
     pub(super) listed_at: Option<Millis>,
     pub(super) reports: IndexMap<VmId, (Millis, EngineReport)>,
-    pub(super) news: IndexMap<GroupId, GroupNews>,
-    pub(super) news_rotation: usize,
-    pub(super) probed: IndexMap<VmId, Millis>,
+    pub(super) evidence_by_group: IndexMap<GroupId, GroupEvidence>,
+    pub(super) evidence_rotation: usize,
+    pub(super) probed_at: IndexMap<VmId, Millis>,
     pub(super) slack: Vec<DemandFact>,
     pub(super) peer_slack: IndexMap<EntryId, (Millis, Vec<DemandFact>)>,
     pub(super) peer_rolls: IndexMap<EntryId, u64>,
     pub(super) forming_since: IndexMap<GroupId, Millis>,
-    pub(super) gate: Option<String>,
+    pub(super) roll_stop_reason: Option<String>,
     pub(super) view_version: u64,
-    pub(super) next_view: Millis,
-    pub(super) next_share: Millis,
-    pub(super) next_lead: Millis,
-    pub(super) next_probe: Millis,
+    pub(super) next_publication: Millis,
+    pub(super) next_distribution: Millis,
+    pub(super) next_coordinator_choice: Millis,
+    pub(super) next_probe_check: Millis,
     pub(super) next_placement: Millis,
-    /// Groups that are this VM's to probe.
-    pub(super) own_probes: IndexSet<GroupId>,
+    /// Groups that this VM probes.
+    pub(super) probed_groups: IndexSet<GroupId>,
     pub(super) roster_view: Arc<bergamot_roster::RosterRecord>,
 }
 
 impl ControlState {
-    /// A state that knows only itself.
+    /// Creates a state that knows no peers and no groups.
     pub fn new(me: Member, options: ControlOptions) -> Self {
         Self {
             roster: RosterState::new(me, options.roster.clone()),
@@ -84,53 +84,53 @@
             roster_revision: 0,
             roster_swap: None,
             roster_read: false,
-            offered: None,
-            asked_bundle: None,
-            asked_peer: IndexMap::new(),
+            offered_roll: None,
+            requested_bundle: None,
+            queried_at: IndexMap::new(),
             placements: IndexMap::new(),
             vms: IndexMap::new(),
             listed_at: None,
             reports: IndexMap::new(),
-            news: IndexMap::new(),
-            news_rotation: 0,
-            probed: IndexMap::new(),
+            evidence_by_group: IndexMap::new(),
+            evidence_rotation: 0,
+            probed_at: IndexMap::new(),
             slack: Vec::new(),
             peer_slack: IndexMap::new(),
             peer_rolls: IndexMap::new(),
             forming_since: IndexMap::new(),
-            gate: None,
+            roll_stop_reason: None,
             view_version: 0,
-            next_view: Millis::ZERO,
-            next_share: Millis::ZERO,
-            next_lead: Millis::ZERO,
-            next_probe: Millis::ZERO,
+            next_publication: Millis::ZERO,
+            next_distribution: Millis::ZERO,
+            next_coordinator_choice: Millis::ZERO,
+            next_probe_check: Millis::ZERO,
             next_placement: Millis::ZERO,
-            own_probes: IndexSet::new(),
+            probed_groups: IndexSet::new(),
             roster_view: Arc::default(),
         }
     }
 
-    /// This daemon.
+    /// Returns this entry VM as a roster member.
     pub fn me(&self) -> &Member {
         self.roster.own_member()
     }
 
-    /// The roster.
+    /// Returns the roster state.
     pub fn roster(&self) -> &RosterState {
         &self.roster
     }
 
-    /// The bundle in force here.
+    /// Returns the active bundle.
     pub fn force(&self) -> Option<&Arc<ActiveBundle>> {
         self.rolls.current()
     }
 
-    /// The groups by fabric domain.
+    /// Returns the placement states by fabric domain.
     pub fn placements(&self) -> &IndexMap<FabricDomain, PlacementState> {
         &self.placements
     }
 
-    /// Takes one event and says what to do.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, now: Millis, event: ControlEvent) -> Vec<ControlAction> {
         let mut actions = Vec::new();
         match event {
@@ -139,16 +139,16 @@
                 key,
                 entry,
                 started,
-            } => self.take_read(now, &key, entry, started, &mut actions),
-            ControlEvent::ReadFailed { key } => self.take_read_failure(&key),
+            } => self.handle_read(now, &key, entry, started, &mut actions),
+            ControlEvent::ReadFailed { key } => self.handle_read_failure(&key),
             ControlEvent::Swapped {
                 key,
                 nonce,
                 outcome,
-            } => self.take_swapped(now, &key, nonce, outcome, &mut actions),
-            ControlEvent::Listed(vms) => self.take_list(now, vms, &mut actions),
+            } => self.handle_swap_outcome(now, &key, nonce, outcome, &mut actions),
+            ControlEvent::Listed(vms) => self.handle_vm_list(now, vms, &mut actions),
             ControlEvent::Datagram(datagram, from) => {
-                self.take_datagram(now, &datagram, from, &mut actions);
+                self.handle_datagram(now, &datagram, from, &mut actions);
             }
             ControlEvent::PeerRoll(roll) => {
                 self.adopt(&roll.0, &roll.1, "peer", &mut actions);
@@ -158,15 +158,15 @@
             }
             ControlEvent::PeerGroups(entries) => {
                 for entry in entries {
-                    self.take_peer_groups(now, entry, &mut actions);
+                    self.handle_peer_groups(now, entry, &mut actions);
                 }
             }
             ControlEvent::Report { vm, asked, report } => {
-                self.take_report(now, vm, asked, report);
+                self.handle_report(now, vm, asked, report);
             }
             ControlEvent::Ordered { vm } => {
-                // What the order did shows in the next report; ask at once.
-                self.probed.swap_remove(&vm);
+                // Only the next report shows the effect of the order, so the engine is probed at once.
+                self.probed_at.swap_remove(&vm);
                 if let Some(placement) = self.placement_of(&vm) {
                     placement.handle(now, PlacementEvent::Ordered { vm });
                 }
@@ -189,27 +189,27 @@
 
     fn tick(&mut self, now: Millis, actions: &mut Vec<ControlAction>) {
         self.roster_event(now, RosterEvent::Tick, actions);
-        self.want_roll(now, actions);
-        self.ask_peers_as_outsider(now, actions);
-        if now >= self.next_share {
-            self.next_share = now + SHARE_PERIOD;
-            self.share_wanted(now);
+        self.fetch_offered_bundle(now, actions);
+        self.query_peers_as_non_member(now, actions);
+        if now >= self.next_distribution {
+            self.next_distribution = now + DISTRIBUTION_PERIOD;
+            self.distribute_wanted(now);
         }
-        if now >= self.next_lead {
-            self.next_lead = now + LEAD_PERIOD;
-            self.choose_leads(now);
-            self.choose_probes();
+        if now >= self.next_coordinator_choice {
+            self.next_coordinator_choice = now + COORDINATOR_CHOICE_PERIOD;
+            self.choose_coordinators(now);
+            self.choose_probed_groups();
         }
         if now >= self.next_placement {
             self.next_placement = now + PLACEMENT_PERIOD;
             self.tick_placements(now, actions);
         }
-        if now >= self.next_probe {
-            self.next_probe = now + PROBE_LOOK;
-            self.probe_due(now, actions);
+        if now >= self.next_probe_check {
+            self.next_probe_check = now + PROBE_CHECK_PERIOD;
+            self.probe_due_engines(now, actions);
         }
-        if now >= self.next_view {
-            self.next_view = now + VIEW_PERIOD;
+        if now >= self.next_publication {
+            self.next_publication = now + PUBLISH_PERIOD;
             self.publish(now, actions);
         }
     }
@@ -228,29 +228,29 @@
                 }
                 RosterAction::Propose(record) => self.propose_roster(now, record, actions),
                 RosterAction::Suspect(entry) => {
-                    actions.push(note(format!("event=peer_suspected entry={entry}")));
+                    actions.push(log_line(format!("event=peer_suspected entry={entry}")));
                 }
                 RosterAction::Trust(entry) => {
-                    actions.push(note(format!("event=peer_trusted entry={entry}")));
+                    actions.push(log_line(format!("event=peer_trusted entry={entry}")));
                 }
                 RosterAction::EpochChanged(epoch) => {
                     let record = self.roster.record().clone();
                     self.roster_view = Arc::new(record.clone());
-                    self.next_lead = Millis::ZERO;
+                    self.next_coordinator_choice = Millis::ZERO;
                     let members = record.members.len();
-                    actions.push(note(format!(
+                    actions.push(log_line(format!(
                         "event=roster_changed epoch={epoch} members={members}"
                     )));
                     actions.push(ControlAction::Roster(record));
                 }
                 RosterAction::Paused(gap) => {
-                    actions.push(note(format!("event=process_paused gap_ms={gap}")));
+                    actions.push(log_line(format!("event=process_paused gap_ms={gap}")));
                 }
             }
         }
     }
 
-    fn take_list(&mut self, now: Millis, vms: Vec<VmFact>, actions: &mut Vec<ControlAction>) {
+    fn handle_vm_list(&mut self, now: Millis, vms: Vec<VmFact>, actions: &mut Vec<ControlAction>) {
         let ids = vms.iter().map(|fact| fact.vm.clone()).collect();
         self.roster_event(now, RosterEvent::Listed(ids), actions);
         self.listed_at = Some(now);
@@ -267,10 +267,10 @@
         for (fabric, failure_domain) in fabrics {
             self.placement_entry(&fabric, &failure_domain);
         }
-        self.list_to_placements(now);
+        self.forward_vm_list(now);
         let vms = &self.vms;
         self.reports.retain(|vm, _| vms.contains_key(vm));
-        self.probed.retain(|vm, _| vms.contains_key(vm));
+        self.probed_at.retain(|vm, _| vms.contains_key(vm));
     }
 
     pub(super) fn placement_entry(
@@ -292,7 +292,7 @@
         })
     }
 
-    fn take_read(
+    fn handle_read(
         &mut self,
         now: Millis,
         key: &str,
@@ -301,16 +301,16 @@
         actions: &mut Vec<ControlAction>,
     ) {
         match key {
-            ROLL_KEY => self.read_roll(entry, actions),
-            ROSTER_KEY => self.read_roster(now, entry, actions),
+            ROLL_KEY => self.handle_roll_read(entry, actions),
+            ROSTER_KEY => self.handle_roster_read(now, entry, actions),
             key if key.starts_with(GROUP_PREFIX) => {
-                self.read_groups(now, key, entry, started, actions);
+                self.handle_groups_read(now, key, entry, started, actions);
             }
-            _ => self.read_bundle(entry, actions),
+            _ => self.handle_bundle_read(entry, actions),
         }
     }
 
-    /// The key of a fabric domain's record.
+    /// Returns the key of a fabric domain's group record.
     pub(super) fn key_of(&self, fabric: &FabricDomain) -> Option<String> {
         let fact = self
             .vms
@@ -327,7 +327,7 @@
         })
     }
 
-    /// The state as JSON, for the dump.
+    /// Returns the state as JSON for the admin dump.
     pub fn dump(&self, now: Millis) -> serde_json::Value {
         let groups: Vec<serde_json::Value> = self
             .placements
@@ -343,10 +343,10 @@
             },
             "roll": {
                 "number": self.rolls.number(),
-                "record": self.force().map(|force| &force.record),
-                "version": self.force().map(|force| &force.document.version),
+                "record": self.force().map(|active_bundle| &active_bundle.record),
+                "version": self.force().map(|active_bundle| &active_bundle.document.version),
                 "seen_by_peers": self.peer_rolls,
-                "gate": self.gate,
+                "gate": self.roll_stop_reason,
             },
             "fabric_domains": groups,
             "vms": self.vms.values().collect::<Vec<_>>(),
@@ -355,17 +355,17 @@
     }
 }
 
-/// Time between two snapshots for the callers' side.
-const VIEW_PERIOD: Millis = Millis(250);
-/// Time between two sharings of the wanted replicas.
-const SHARE_PERIOD: Millis = Millis(1_000);
-/// Time between two choices of who coordinates and who probes.
-const LEAD_PERIOD: Millis = Millis(500);
-/// Time between two looks at the groups coordinated here.
+/// Interval between route snapshots.
+const PUBLISH_PERIOD: Millis = Millis(250);
+/// Interval between distributions of the wanted replicas.
+const DISTRIBUTION_PERIOD: Millis = Millis(1_000);
+/// Interval between selections of coordinators and probers.
+const COORDINATOR_CHOICE_PERIOD: Millis = Millis(500);
+/// Interval between ticks of the placement states.
 const PLACEMENT_PERIOD: Millis = Millis(100);
-/// Time between two looks for engines that are due to be asked.
-const PROBE_LOOK: Millis = Millis(100);
+/// Interval between checks for engines whose probe is due.
+const PROBE_CHECK_PERIOD: Millis = Millis(100);
 
-pub(super) fn note(line: String) -> ControlAction {
+pub(super) fn log_line(line: String) -> ControlAction {
     ControlAction::Note(line)
 }
--- a/crates/entry/src/control/sync.rs
+++ b/crates/entry/src/control/sync.rs
@@ -1,4 +1,4 @@
-//! What is read from and written to the key-value service, and what peers pass on of it.
+//! Synchronizes rolls, the roster and group records with the key-value store and with peers.
 
 use bergamot_bundle::{AdoptOutcome, RollRecord, SignedBundle};
 use bergamot_peer::GroupsEntry;
@@ -9,61 +9,69 @@
 
 use super::event::ControlAction;
 use super::keys::{GROUP_PREFIX, ROLL_KEY, ROSTER_KEY, bundle_key};
-use super::state::{ControlState, note};
+use super::state::{ControlState, log_line};
 
-/// A proposed roster that is on its way.
+/// A proposed roster whose compare-and-swap has not completed.
 #[derive(Clone, Debug)]
 pub(super) struct RosterSwap {
     nonce: u64,
     record: RosterRecord,
-    sent: Millis,
+    sent_at: Millis,
 }
 
-/// Time after which a proposed roster that was not answered is given up.
+/// How long to wait for the outcome of a roster swap before proposing again.
 const SWAP_TIMEOUT: Millis = Millis(5_000);
-/// Time between two questions for the same thing.
-const ASK_PERIOD: Millis = Millis(1_000);
+/// Minimum interval between queries for the same data.
+const QUERY_PERIOD: Millis = Millis(1_000);
 
 impl ControlState {
-    pub(super) fn read_roll(&mut self, entry: Option<KvEntry>, actions: &mut Vec<ControlAction>) {
+    pub(super) fn handle_roll_read(
+        &mut self,
+        entry: Option<KvEntry>,
+        actions: &mut Vec<ControlAction>,
+    ) {
         let Some(entry) = entry else {
             return;
         };
         match serde_json::from_slice::<RollRecord>(&entry.value) {
-            Ok(record) if record.number > self.rolls.number() => self.offered = Some(record),
+            Ok(record) if record.number > self.rolls.number() => self.offered_roll = Some(record),
             Ok(_) => {}
-            Err(error) => actions.push(note(format!(
+            Err(error) => actions.push(log_line(format!(
                 "event=roll_unreadable reason={:?}",
                 error.to_string()
             ))),
         }
     }
 
-    /// Fetches the bundle of an offered roll.
-    pub(super) fn want_roll(&mut self, now: Millis, actions: &mut Vec<ControlAction>) {
-        let Some(record) = &self.offered else {
+    /// Reads the bundle of the offered roll from the store.
+    pub(super) fn fetch_offered_bundle(&mut self, now: Millis, actions: &mut Vec<ControlAction>) {
+        let Some(record) = &self.offered_roll else {
             return;
         };
         if record.number <= self.rolls.number() {
-            self.offered = None;
+            self.offered_roll = None;
             return;
         }
-        let is_asked = self
-            .asked_bundle
-            .is_some_and(|(digest, at)| digest == record.digest && now.since(at) < ASK_PERIOD);
-        if !is_asked {
-            self.asked_bundle = Some((record.digest, now));
+        let was_queried_recently = self
+            .requested_bundle
+            .is_some_and(|(digest, at)| digest == record.digest && now.since(at) < QUERY_PERIOD);
+        if !was_queried_recently {
+            self.requested_bundle = Some((record.digest, now));
             actions.push(ControlAction::Read(bundle_key(&record.digest)));
         }
     }
 
-    pub(super) fn read_bundle(&mut self, entry: Option<KvEntry>, actions: &mut Vec<ControlAction>) {
-        let (Some(entry), Some(record)) = (entry, self.offered.clone()) else {
+    pub(super) fn handle_bundle_read(
+        &mut self,
+        entry: Option<KvEntry>,
+        actions: &mut Vec<ControlAction>,
+    ) {
+        let (Some(entry), Some(record)) = (entry, self.offered_roll.clone()) else {
             return;
         };
         match serde_json::from_slice::<SignedBundle>(&entry.value) {
             Ok(signed) => self.adopt(&record, &signed, "kv", actions),
-            Err(error) => actions.push(note(format!(
+            Err(error) => actions.push(log_line(format!(
                 "event=bundle_unreadable reason={:?}",
                 error.to_string()
             ))),
@@ -80,26 +88,26 @@
         let number = record.number;
         match self.rolls.adopt(record, signed) {
             Ok(AdoptOutcome::Adopted) => {
-                self.gate = None;
-                self.next_share = Millis::ZERO;
-                self.next_view = Millis::ZERO;
+                self.roll_stop_reason = None;
+                self.next_distribution = Millis::ZERO;
+                self.next_publication = Millis::ZERO;
                 actions.push(ControlAction::Adopted(number, record.digest));
-                actions.push(note(format!(
+                actions.push(log_line(format!(
                     "event=roll_adopted number={number} digest={:?} source={source}",
                     record.digest
                 )));
             }
             Ok(AdoptOutcome::AlreadyNewer) => {}
             Ok(AdoptOutcome::Conflict) => {
-                actions.push(note(format!(
+                actions.push(log_line(format!(
                     "event=roll_conflict number={number} digest={:?} source={source}",
                     record.digest
                 )));
             }
             Err(error) => {
-                // An unfit roll must not be asked for again and again.
-                self.offered = None;
-                actions.push(note(format!(
+                // Withdraws the offer, as an invalid roll would otherwise be fetched repeatedly.
+                self.offered_roll = None;
+                actions.push(log_line(format!(
                     "event=roll_refused number={number} source={source} reason={:?}",
                     error.to_string()
                 )));
@@ -107,7 +115,7 @@
         }
     }
 
-    pub(super) fn read_roster(
+    pub(super) fn handle_roster_read(
         &mut self,
         now: Millis,
         entry: Option<KvEntry>,
@@ -118,7 +126,7 @@
             return;
         };
         let Ok(record) = serde_json::from_slice::<RosterRecord>(&entry.value) else {
-            actions.push(note("event=roster_unreadable".to_owned()));
+            actions.push(log_line("event=roster_unreadable".to_owned()));
             return;
         };
         if entry.revision >= self.roster_revision {
@@ -140,11 +148,11 @@
         mut record: RosterRecord,
         actions: &mut Vec<ControlAction>,
     ) {
-        let is_waiting = self
+        let is_swap_pending = self
             .roster_swap
             .as_ref()
-            .is_some_and(|swap| now.since(swap.sent) < SWAP_TIMEOUT);
-        if !self.roster_read || is_waiting {
+            .is_some_and(|swap| now.since(swap.sent_at) < SWAP_TIMEOUT);
+        if !self.roster_read || is_swap_pending {
             return;
         }
         let me = self.roster.own_member();
@@ -157,7 +165,7 @@
         self.roster_swap = Some(RosterSwap {
             nonce: record.nonce,
             record: record.clone(),
-            sent: now,
+            sent_at: now,
         });
         actions.push(ControlAction::Swap {
             key: ROSTER_KEY.to_owned(),
@@ -167,7 +175,7 @@
         });
     }
 
-    pub(super) fn take_swapped(
+    pub(super) fn handle_swap_outcome(
         &mut self,
         now: Millis,
         key: &str,
@@ -177,14 +185,14 @@
     ) {
         if key != ROSTER_KEY {
             if outcome != SwapOutcome::NotSent {
-                actions.push(note(format!(
+                actions.push(log_line(format!(
                     "event=groups_swapped key={key} nonce={nonce} outcome={outcome:?}"
                 )));
             }
             let fabric = FabricDomain::from(key.rsplit('/').next().unwrap_or_default());
             if let Some(placement) = self.placements.get_mut(&fabric) {
                 placement.handle(now, PlacementEvent::Swapped { nonce, outcome });
-                self.next_view = Millis::ZERO;
+                self.next_publication = Millis::ZERO;
             }
             return;
         }
@@ -196,7 +204,7 @@
                 self.roster_revision = self.roster_revision.max(revision);
                 self.roster_event(now, RosterEvent::Record(swap.record), actions);
             }
-            // Whatever is in force now shows in the next read; until then nothing is proposed.
+            // The stored roster is unknown until the next read, so nothing is proposed before it.
             SwapOutcome::Lost | SwapOutcome::Unknown => {
                 self.roster_read = false;
                 actions.push(ControlAction::Read(ROSTER_KEY.to_owned()));
@@ -205,13 +213,13 @@
         }
     }
 
-    pub(super) fn take_read_failure(&mut self, key: &str) {
+    pub(super) fn handle_read_failure(&mut self, key: &str) {
         if key != ROLL_KEY && !key.starts_with(GROUP_PREFIX) && key != ROSTER_KEY {
-            self.asked_bundle = None;
+            self.requested_bundle = None;
         }
     }
 
-    pub(super) fn read_groups(
+    pub(super) fn handle_groups_read(
         &mut self,
         now: Millis,
         key: &str,
@@ -232,7 +240,7 @@
         let record = match record.transpose() {
             Ok(record) => record,
             Err(error) => {
-                actions.push(note(format!(
+                actions.push(log_line(format!(
                     "event=groups_unreadable fabric={fabric} reason={:?}",
                     error.to_string()
                 )));
@@ -240,40 +248,41 @@
             }
         };
         let placement = self.placement_entry(&fabric, &failure_domain);
-        let is_news = placement.revision() < revision;
+        let is_newer = placement.revision() < revision;
         let event = PlacementEvent::Record {
             record,
             revision,
             started,
         };
         placement.handle(now, event);
-        if is_news {
-            self.next_view = Millis::ZERO;
+        if is_newer {
+            self.next_publication = Millis::ZERO;
         }
     }
 
-    pub(super) fn take_peer_groups(
+    pub(super) fn handle_peer_groups(
         &mut self,
         now: Millis,
-        given: GroupsEntry,
+        peer_entry: GroupsEntry,
         actions: &mut Vec<ControlAction>,
     ) {
-        let fabric = FabricDomain::from(given.key.rsplit('/').next().unwrap_or_default());
-        let known = self.placements.get(&fabric).map_or(0, |p| p.revision());
-        if given.revision <= known || !given.key.starts_with(GROUP_PREFIX) {
+        let fabric = FabricDomain::from(peer_entry.key.rsplit('/').next().unwrap_or_default());
+        let known_revision = self.placements.get(&fabric).map_or(0, |p| p.revision());
+        if peer_entry.revision <= known_revision || !peer_entry.key.starts_with(GROUP_PREFIX) {
             return;
         }
-        let key = given.key.clone();
+        let key = peer_entry.key.clone();
         let entry = KvEntry {
-            key: given.key,
-            value: given.value,
-            revision: given.revision,
+            key: peer_entry.key,
+            value: peer_entry.value,
+            revision: peer_entry.revision,
         };
-        // A record told by a peer is news, but never confirms a coordinator's own term.
-        self.read_groups(now, &key, Some(entry), Millis::ZERO, actions);
+        // A record from a peer may be newer than the local one but never confirms a coordinator's own
+        // term, hence the start time of zero.
+        self.handle_groups_read(now, &key, Some(entry), Millis::ZERO, actions);
     }
 
-    /// The records of groups for a peer.
+    /// Returns the group records to send to a peer.
     pub fn group_entries(&self) -> Vec<GroupsEntry> {
         let records = self.placements.values();
         records
@@ -286,38 +295,43 @@
             .collect()
     }
 
-    /// A VM that is not in the roster, as when it started while the service was out, gets no
-    /// heartbeats; it asks the entry VMs of the list.
-    pub(super) fn ask_peers_as_outsider(&mut self, now: Millis, actions: &mut Vec<ControlAction>) {
-        if self.roster.is_member() || !self.may_ask(now, "outsider") {
+    /// Queries the listed entry VMs while this VM is not in the roster. Such a VM, for example one
+    /// that started during an outage of the key-value store, receives no heartbeats.
+    pub(super) fn query_peers_as_non_member(
+        &mut self,
+        now: Millis,
+        actions: &mut Vec<ControlAction>,
+    ) {
+        if self.roster.is_member() || !self.try_start_query(now, "outsider") {
             return;
         }
         let me = self.me().clone();
-        let others: Vec<std::net::SocketAddr> = self
+        let entry_addrs: Vec<std::net::SocketAddr> = self
             .vms
             .values()
             .filter(|fact| fact.kind == VmKind::Entry && fact.vm != me.vm)
             .map(|fact| fact.addr)
             .collect();
-        if others.is_empty() {
+        if entry_addrs.is_empty() {
             return;
         }
-        let turn = (now.0 / ASK_PERIOD.0) as usize % others.len();
-        let peer = others[turn];
+        let index = (now.0 / QUERY_PERIOD.0) as usize % entry_addrs.len();
+        let peer = entry_addrs[index];
         actions.push(ControlAction::AskRoster(peer));
         actions.push(ControlAction::AskRoll(peer, self.rolls.number()));
         actions.push(ControlAction::AskGroups(peer));
     }
 
-    /// Asks a peer for something, unless it was asked for just now.
-    pub(super) fn may_ask(&mut self, now: Millis, what: &'static str) -> bool {
-        let is_asked = self
-            .asked_peer
-            .get(what)
-            .is_some_and(|at| now.since(*at) < ASK_PERIOD);
-        if !is_asked {
-            self.asked_peer.insert(what, now);
+    /// Records a query to a peer and returns `true`, unless one on this topic was made within
+    /// [`QUERY_PERIOD`].
+    pub(super) fn try_start_query(&mut self, now: Millis, topic: &'static str) -> bool {
+        let was_queried_recently = self
+            .queried_at
+            .get(topic)
+            .is_some_and(|at| now.since(*at) < QUERY_PERIOD);
+        if !was_queried_recently {
+            self.queried_at.insert(topic, now);
         }
-        !is_asked
+        !was_queried_recently
     }
 }
