--- a/crates/entry/src/bin/bergamot-entry.rs
+++ b/crates/entry/src/bin/bergamot-entry.rs
@@ -11,10 +11,10 @@
 use getopts::Options;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Port of the metrics where none is given.
+/// Port of the metrics endpoint if `--metrics-port` is not given.
 const DEFAULT_METRICS_PORT: u16 = 9464;
 
-/// Runs on the platform that lays a settings file for each process.
+/// Runs on the platform, which provides a settings file for each process.
 fn run_on_platform(matches: &getopts::Matches) -> anyhow::Result<ExitCode> {
     bergamot_gateway::signals::take_reload_signals()?;
     let path = std::env::var_os(SETTINGS_VARIABLE)
@@ -27,12 +27,12 @@
     }
     let logs = bergamot_gateway::logs::start()?;
     let ports = SitePorts::new(settings.store_addr());
-    let reader = move || Ok(SiteSettings::load(Path::new(&path))?.site(port));
-    let ended = GatewayDaemon::new(settings.site(port), ports)
-        .with_reader(Box::new(reader))
+    let read_settings = move || Ok(SiteSettings::load(Path::new(&path))?.site(port));
+    let result = GatewayDaemon::new(settings.site(port), ports)
+        .with_reader(Box::new(read_settings))
         .run();
     logs.flush();
-    ended.map(|()| ExitCode::SUCCESS)
+    result.map(|()| ExitCode::SUCCESS)
 }
 
 fn main() -> ExitCode {
@@ -51,12 +51,12 @@
     options.optflag(
         "",
         "platform",
-        "run on the platform that lays the settings file",
+        "run on the platform that provides the settings file",
     );
     options.optopt(
         "",
         "metrics-port",
-        "port of the metrics on the platform",
+        "port of the metrics endpoint on the platform",
         "PORT",
     );
     options.optflag("", "check", "check the settings and exit");
@@ -82,16 +82,17 @@
     }
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
     let Some(file) = matches.opt_str("settings") else {
-        anyhow::bail!("--settings FILE is needed; --print-default shows a sample");
+        anyhow::bail!("--settings FILE is required; --print-default prints a sample");
     };
     let settings = EntrySettings::load(Path::new(&file))?;
     if matches.opt_present("check") {
         println!("{file}: ok");
         return Ok(ExitCode::SUCCESS);
     }
-    // Before callers can connect: until signals are taken, one ends the process at once, with all that it has taken.
+    // Signal handlers are installed before callers can connect. Without them a signal would end the
+    // process at once and lose the accepted requests.
     let signals = Arc::new(AtomicU32::new(0));
-    count_signals(Arc::clone(&signals))?;
+    count_stop_signals(Arc::clone(&signals))?;
     let daemon = EntryDaemon::start(settings)?;
     while signals.load(Ordering::Relaxed) == 0 {
         std::thread::sleep(std::time::Duration::from_millis(50));
@@ -99,15 +100,15 @@
     let outcome = daemon.stop(|| signals.load(Ordering::Relaxed) > 1);
     Ok(match outcome {
         StopOutcome::Graceful => ExitCode::SUCCESS,
-        StopOutcome::Cut(cut) => {
-            eprintln!("bergamot-entry: {cut} requests were cut");
+        StopOutcome::Cut(aborted) => {
+            eprintln!("bergamot-entry: {aborted} requests were aborted");
             ExitCode::from(1)
         }
     })
 }
 
-/// Counts SIGTERM and SIGINT: the first stops gracefully, a second one at once.
-fn count_signals(count: Arc<AtomicU32>) -> anyhow::Result<()> {
+/// Counts SIGTERM and SIGINT. The first stops the daemon gracefully, a second one at once.
+fn count_stop_signals(count: Arc<AtomicU32>) -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
--- a/crates/entry/src/clock.rs
+++ b/crates/entry/src/clock.rs
@@ -1,3 +1,3 @@
-//! The clock as the decision crates see it.
+//! The clock whose times the decision crates receive.
 
 pub use bergamot_gateway::clock::BootClock;
--- a/crates/entry/src/control/evidence.rs
+++ b/crates/entry/src/control/evidence.rs
@@ -25,9 +25,8 @@
     pub(super) fn datagram(&mut self, now: Millis, beat: Heartbeat) -> Datagram {
         // Evidence from this VM's own probes precedes evidence relayed from peers. If not all of
         // it fits, successive datagrams start at rotating offsets.
-        let is_fresh = |evidence: &GroupEvidence| {
-            now.since(evidence.oldest_at) < self.options.evidence_max_age
-        };
+        let is_fresh =
+            |fact: &GroupEvidence| now.since(fact.oldest_at) < self.options.evidence_max_age;
         let (own_evidence, relayed_evidence): (Vec<_>, Vec<_>) = self
             .evidence_by_group
             .iter()
@@ -120,8 +119,8 @@
         has_unknown_group
     }
 
-    /// Records evidence of a group unless newer evidence is known. If this VM coordinates the group,
-    /// evidence from a peer also counts as a report of every member.
+    /// Records evidence of a group unless newer evidence is known. If this VM coordinates the
+    /// group, evidence from a peer also counts as a report of every member.
     fn record_evidence(&mut self, now: Millis, id: &GroupId, evidence: GroupEvidence) {
         let is_older = self
             .evidence_by_group
--- a/crates/entry/src/control/route.rs
+++ b/crates/entry/src/control/route.rs
@@ -52,7 +52,8 @@
         actions.push(ControlAction::Publish(Arc::new(view)));
     }
 
-    /// Whether the record and the VM list allow routing to a group. Evidence is checked at dispatch.
+    /// Whether the record and the VM list allow routing to a group. Evidence is checked at
+    /// dispatch.
     fn is_routable(&self, record: &DomainRecord, id: &GroupId, group: &GroupRecord) -> bool {
         let is_staying = |vm: &VmId| {
             let fact = self.vms.get(vm);
--- a/crates/entry/src/control/state.rs
+++ b/crates/entry/src/control/state.rs
@@ -165,7 +165,8 @@
                 self.handle_report(now, vm, asked, report);
             }
             ControlEvent::Ordered { vm } => {
-                // Only the next report shows the effect of the order, so the engine is probed at once.
+                // Only the next report shows the effect of the order, so the engine is probed at
+                // once.
                 self.probed_at.swap_remove(&vm);
                 if let Some(placement) = self.placement_of(&vm) {
                     placement.handle(now, PlacementEvent::Ordered { vm });
--- a/crates/entry/src/control/sync.rs
+++ b/crates/entry/src/control/sync.rs
@@ -277,8 +277,8 @@
             value: peer_entry.value,
             revision: peer_entry.revision,
         };
-        // A record from a peer may be newer than the local one but never confirms a coordinator's own
-        // term, hence the start time of zero.
+        // A record from a peer may be newer than the local one but never confirms a coordinator's
+        // own term, hence the start time of zero.
         self.handle_groups_read(now, &key, Some(entry), Millis::ZERO, actions);
     }
 
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts the duties and stops them.
+//! Starts and stops the duties.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,27 +27,30 @@
 use crate::settings::EntrySettings;
 use crate::tls::TlsKeeper;
 
-/// Items a ring to control holds.
-const CONTROL_RING: usize = 8_192;
-/// Items any other ring holds.
-const DUTY_RING: usize = 4_096;
-/// Time between two looks at the certificate files.
-const TLS_CHECK: Duration = Duration::from_secs(5);
-/// Time between two looks at what a stop waits for. An answer that was just given delays the end by this at most.
-const STOP_LOOK: Duration = Duration::from_millis(10);
-/// Time in which peers and balancer learn of a stop before callers are refused.
-const STOP_NOTICE: Duration = Duration::from_millis(500);
+/// Capacity of the ring to the control duty, in items.
+const CONTROL_RING_SIZE: usize = 8_192;
+/// Capacity of every other ring, in items.
+const DUTY_RING_SIZE: usize = 4_096;
+/// Interval between checks for changed certificate files.
+const TLS_CHECK_INTERVAL: Duration = Duration::from_secs(5);
+/// Interval at which a stop checks what it waits for. This is the longest that a stop is delayed
+/// after the last answer.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// How long callers are accepted after a stop begins, so that peers and the load balancer learn of
+/// it first.
+const STOP_GRACE_TIME: Duration = Duration::from_millis(500);
 
-/// How long a stop waits for notes on claims at most: an owner that doesn't answer is told five times in 3.5 s. Callers have been answered
-/// by then; a note that is lost costs a repeat its answer.
-const CLAIM_FLUSH_TIME: Duration = Duration::from_secs(4);
+/// How long a stop waits until claim owners have confirmed all notices. A notice to an owner that
+/// does not answer is sent five times within 3.5 s. Callers have been answered by then, but if a
+/// notice is lost, a retry of the request does not get the stored answer.
+const CLAIM_FLUSH_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// How a stop ended.
+/// The result of a stop.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum StopOutcome {
-    /// Everything in flight ended by itself.
+    /// All requests in flight completed.
     Graceful,
-    /// So many requests were cut at the deadline.
+    /// This many requests in flight were aborted, at the deadline or because the stop was urgent.
     Cut(i64),
 }
 
@@ -57,32 +60,33 @@
     caller_addr: SocketAddr,
     peer_addr: SocketAddr,
     admin_addr: SocketAddr,
-    stop: watch::Sender<bool>,
-    end: Vec<mpsc::Sender<()>>,
+    front_stop: watch::Sender<bool>,
+    duty_stops: Vec<mpsc::Sender<()>>,
     threads: Vec<JoinHandle<()>>,
     front: Option<JoinHandle<()>>,
 }
 
 impl EntryDaemon {
-    /// Binds the addresses and starts every duty. Call it outside of any runtime.
+    /// Binds the addresses and starts all duties. Must be called outside of an async runtime.
     ///
     /// # Errors
-    /// When an address is taken or the TLS files are unfit.
+    /// Returns an error if an address cannot be bound or the TLS files are invalid.
     pub fn start(settings: EntrySettings) -> anyhow::Result<Self> {
-        let caller = std::net::TcpListener::bind(settings.caller_addr)
+        let caller_listener = std::net::TcpListener::bind(settings.caller_addr)
             .with_context(|| format!("caller_addr {}", settings.caller_addr))?;
         let admin_listener = std::net::TcpListener::bind(settings.admin_addr)
             .with_context(|| format!("admin_addr {}", settings.admin_addr))?;
         let (peer_listener, peer_socket) = bind_peer(settings.peer_addr)?;
         let tls = settings.tls.as_ref().map(TlsKeeper::load).transpose()?;
-        let (caller_addr, admin_addr) = (caller.local_addr()?, admin_listener.local_addr()?);
+        let (caller_addr, admin_addr) =
+            (caller_listener.local_addr()?, admin_listener.local_addr()?);
         let peer_addr = peer_listener.local_addr()?;
         let incarnation = rand::random::<u64>() >> 1;
-        let (control_ring, control_inbox) = ring("control", CONTROL_RING);
-        let (platform_ring, platform_inbox) = ring("platform", DUTY_RING);
-        let (peer_ring, peer_inbox) = ring("peer", DUTY_RING);
-        let (probe_ring, probe_inbox) = ring("probe", DUTY_RING);
-        let (claims_ring, claims_inbox) = ring("claims", DUTY_RING);
+        let (control_ring, control_inbox) = ring("control", CONTROL_RING_SIZE);
+        let (platform_ring, platform_inbox) = ring("platform", DUTY_RING_SIZE);
+        let (peer_ring, peer_inbox) = ring("peer", DUTY_RING_SIZE);
+        let (probe_ring, probe_inbox) = ring("probe", DUTY_RING_SIZE);
+        let (claims_ring, claims_inbox) = ring("claims", DUTY_RING_SIZE);
         let routing = RoutingState::new(
             settings.entry.clone(),
             settings.balance.clone(),
@@ -111,8 +115,8 @@
             caller_addr,
             peer_addr,
             admin_addr,
-            stop: watch::channel(false).0,
-            end: Vec::new(),
+            front_stop: watch::channel(false).0,
+            duty_stops: Vec::new(),
             threads: Vec::new(),
             front: None,
             shared: Arc::clone(&shared),
@@ -142,7 +146,7 @@
             }
         })?;
         daemon.spawn("limits", limits::run)?;
-        daemon.start_front(caller, tls.map(Arc::new))?;
+        daemon.start_front(caller_listener, tls.map(Arc::new))?;
         log::info!(
             "event=entry_started entry={} caller={caller_addr} peer={peer_addr} admin={admin_addr}",
             shared.settings.entry
@@ -150,14 +154,14 @@
         Ok(daemon)
     }
 
-    fn spawn<Duty, Work>(&mut self, name: &str, duty: Duty) -> anyhow::Result<()>
+    fn spawn<Duty, DutyFuture>(&mut self, name: &str, duty: Duty) -> anyhow::Result<()>
     where
-        Duty: FnOnce(Arc<SharedState>) -> Work + Send + 'static,
-        Work: Future<Output = ()> + 'static,
+        Duty: FnOnce(Arc<SharedState>) -> DutyFuture + Send + 'static,
+        DutyFuture: Future<Output = ()> + 'static,
     {
         let shared = Arc::clone(&self.shared);
-        let (end, mut ended) = mpsc::channel::<()>(1);
-        self.end.push(end);
+        let (stop_sender, mut stop_receiver) = mpsc::channel::<()>(1);
+        self.duty_stops.push(stop_sender);
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()?;
@@ -167,7 +171,7 @@
                 runtime.block_on(async {
                     tokio::select! {
                         () = duty(shared) => {}
-                        _ = ended.recv() => {}
+                        _ = stop_receiver.recv() => {}
                     }
                 });
                 runtime.shutdown_background();
@@ -191,7 +195,7 @@
             client: EngineClient::new(tuning.connect_timeout.as_duration()),
             shared: Arc::clone(&self.shared),
         });
-        let stop = self.stop.subscribe();
+        let stop = self.front_stop.subscribe();
         let shared = Arc::clone(&self.shared);
         let thread = std::thread::Builder::new()
             .name("duty-front".to_owned())
@@ -200,7 +204,7 @@
                     if let Some(keeper) = tls.clone() {
                         tokio::spawn(async move {
                             loop {
-                                tokio::time::sleep(TLS_CHECK).await;
+                                tokio::time::sleep(TLS_CHECK_INTERVAL).await;
                                 keeper.refresh();
                             }
                         });
@@ -208,10 +212,10 @@
                     if let Ok(listener) = listen(listener) {
                         front::serve(context, listener, tls, stop).await;
                     }
-                    // A claimed request goes on when its caller has left, and would end with this runtime. No request can
-                    // come any more, so the count only falls.
+                    // A claimed request continues after its caller disconnected, and dropping the
+                    // runtime would abort it. No new requests arrive here, so the count only falls.
                     while shared.in_flight.load(Ordering::SeqCst) > 0 {
-                        tokio::time::sleep(STOP_LOOK).await;
+                        tokio::time::sleep(STOP_POLL_INTERVAL).await;
                     }
                 });
                 runtime.shutdown_background();
@@ -220,97 +224,100 @@
         Ok(())
     }
 
-    /// Where callers connect.
+    /// Returns the address that callers connect to.
     pub fn caller_addr(&self) -> SocketAddr {
         self.caller_addr
     }
 
-    /// Where peers connect.
+    /// Returns the address that peers connect to.
     pub fn peer_addr(&self) -> SocketAddr {
         self.peer_addr
     }
 
-    /// Where operators connect.
+    /// Returns the address that operators connect to.
     pub fn admin_addr(&self) -> SocketAddr {
         self.admin_addr
     }
 
-    /// Whether the balancer should send callers here.
+    /// Whether the load balancer should send callers to this VM.
     pub fn is_ready(&self) -> bool {
         admin::not_ready(&self.shared).is_none()
     }
 
-    /// The roll in force here, zero before the first.
+    /// Returns the number of the active roll, or zero before the first.
     pub fn roll_number(&self) -> u64 {
         let view = self.shared.view.load();
         view.force.as_ref().map_or(0, |force| force.record.number)
     }
 
-    /// Members of the roster, if every one of them had settled on it when it was read.
+    /// Returns the number of roster members, or `None` unless all had settled on the roster when it
+    /// was read.
     pub fn settled_members(&self) -> Option<usize> {
         let view = self.shared.view.load();
         let roster = &view.roster;
         (roster.settled == roster.epoch).then_some(roster.members.len())
     }
 
-    /// Serving groups that this VM knows of.
+    /// Returns the number of groups that this VM can route to.
     pub fn routable_groups(&self) -> usize {
         self.shared.view.load().groups.len()
     }
 
-    /// Stops: takes no new requests, lets those in flight end, then ends the duties.
+    /// Stops the daemon: refuses new requests, waits for those in flight, then stops the duties.
     ///
-    /// `is_urgent` is asked over and over; once true, what is in flight is cut.
+    /// `is_urgent` is polled. Once it returns `true`, requests in flight are aborted.
     pub fn stop(mut self, is_urgent: impl Fn() -> bool) -> StopOutcome {
         let shared = Arc::clone(&self.shared);
         shared.stopping.store(true, Ordering::SeqCst);
         shared.tell_control(ControlEvent::Stopping);
-        std::thread::sleep(STOP_NOTICE);
-        let _ = self.stop.send(true);
-        let started = std::time::Instant::now();
-        let most = shared.settings.tuning.stop_deadline.as_duration();
+        std::thread::sleep(STOP_GRACE_TIME);
+        let _ = self.front_stop.send(true);
+        let started_at = std::time::Instant::now();
+        let stop_deadline = shared.settings.tuning.stop_deadline.as_duration();
         let in_flight = || shared.in_flight.load(Ordering::SeqCst);
         let is_done = |front: &Option<JoinHandle<()>>| {
-            let front_done = front.as_ref().is_none_or(JoinHandle::is_finished);
-            front_done && in_flight() == 0
+            let is_front_done = front.as_ref().is_none_or(JoinHandle::is_finished);
+            is_front_done && in_flight() == 0
         };
-        while !is_done(&self.front) && started.elapsed() < most && !is_urgent() {
-            std::thread::sleep(STOP_LOOK);
+        while !is_done(&self.front) && started_at.elapsed() < stop_deadline && !is_urgent() {
+            std::thread::sleep(STOP_POLL_INTERVAL);
         }
-        let cut = in_flight();
-        let is_planned = !is_urgent() && started.elapsed() < most;
-        Invariant::GracefulStop.check(!is_planned || cut == 0, || format!("cut={cut}"));
+        let aborted = in_flight();
+        let in_time = !is_urgent() && started_at.elapsed() < stop_deadline;
+        Invariant::GracefulStop.check(!in_time || aborted == 0, || format!("cut={aborted}"));
         log::info!(
-            "event=entry_stopped entry={} cut={cut}",
+            "event=entry_stopped entry={} cut={aborted}",
             shared.settings.entry
         );
-        if cut == 0 {
-            // First nothing is granted any more, then the count is read: what comes later is refused and leaves nothing open.
+        if aborted == 0 {
+            // Claims are closed before the count is read, so that a later claim is refused and adds
+            // no notice.
             shared.are_claims_closed.store(true, Ordering::SeqCst);
-            let closed = std::time::Instant::now();
-            let notes = || shared.claim_notes.load(Ordering::SeqCst);
-            while notes() > 0 && closed.elapsed() < CLAIM_FLUSH_TIME && !is_urgent() {
-                std::thread::sleep(STOP_LOOK);
+            let closed_at = std::time::Instant::now();
+            let pending_notices = || shared.claim_notes.load(Ordering::SeqCst);
+            while pending_notices() > 0 && closed_at.elapsed() < CLAIM_FLUSH_TIMEOUT && !is_urgent()
+            {
+                std::thread::sleep(STOP_POLL_INTERVAL);
             }
-            if notes() > 0 {
-                log::warn!("event=claim_notes_cut notes={}", notes());
+            if pending_notices() > 0 {
+                log::warn!("event=claim_notes_cut notes={}", pending_notices());
             }
         }
-        // What else was said to peers is on its way for a moment yet.
-        std::thread::sleep(STOP_NOTICE / 5);
-        self.end.clear();
+        // Gives the last messages to peers time to be sent.
+        std::thread::sleep(STOP_GRACE_TIME / 5);
+        self.duty_stops.clear();
         for thread in self.threads.drain(..) {
             let _ = thread.join();
         }
-        match cut {
+        match aborted {
             0 => StopOutcome::Graceful,
-            cut => StopOutcome::Cut(cut),
+            aborted => StopOutcome::Cut(aborted),
         }
     }
 
-    /// Ends at once, as a crash would: nothing is told to anyone. For tests of failures.
+    /// Stops at once without notifying anyone, like a crash. For tests of failures.
     pub fn kill(mut self) {
-        self.end.clear();
+        self.duty_stops.clear();
         for thread in self.threads.drain(..) {
             let _ = thread.join();
         }
@@ -322,11 +329,12 @@
     TcpListener::from_std(listener)
 }
 
-/// Binds TCP and UDP on the same port.
+/// Binds TCP and UDP to the same port. With port 0, the system chooses the TCP port and the same
+/// UDP port may be taken, so the choice is repeated.
 fn bind_peer(addr: SocketAddr) -> anyhow::Result<(std::net::TcpListener, std::net::UdpSocket)> {
-    const TRIES: u32 = 20;
-    let mut last = None;
-    for _ in 0..TRIES {
+    const MAX_BIND_ATTEMPTS: u32 = 20;
+    let mut last_error = None;
+    for _ in 0..MAX_BIND_ATTEMPTS {
         let listener = std::net::TcpListener::bind(addr)?;
         match std::net::UdpSocket::bind(listener.local_addr()?) {
             Ok(socket) => {
@@ -334,11 +342,11 @@
                 socket.set_nonblocking(true)?;
                 return Ok((listener, socket));
             }
-            Err(error) => last = Some(error),
+            Err(error) => last_error = Some(error),
         }
     }
     Err(anyhow::anyhow!(
-        "peer_addr {addr}: no port is free for both TCP and UDP: {last:?}"
+        "peer_addr {addr}: no port is free for both TCP and UDP: {last_error:?}"
     ))
 }
 
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,9 +1,9 @@
-//! The daemon of an entry VM: callers' HTTP, routing, limits, claims, peers, and this VM's share
-//! of coordinating groups.
+//! The daemon of an entry VM. It serves callers over HTTP, routes their requests, enforces limits,
+//! manages claims, talks to peers and coordinates its share of the replica groups.
 //!
-//! A thread for each duty, joined by bounded rings. The decisions are in the crates `roster`,
-//! `placement`, `claims` and `routing`; here they are fed with events and their actions carried
-//! out.
+//! Each duty runs on its own thread, and bounded rings connect them. The crates `roster`,
+//! `placement`, `claims` and `routing` make the decisions; this crate passes them events and
+//! carries out the resulting actions.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The process's metrics, in the prometheus text form.
+//! Metrics of the process, exposed in the Prometheus text format.
 
 use prometheus::{
     Encoder, HistogramOpts, HistogramVec, IntCounterVec, IntGaugeVec, Opts, Registry, TextEncoder,
@@ -6,12 +6,12 @@
 
 use bergamot_types::invariant::INVARIANTS;
 
-/// Buckets of times, in seconds.
+/// Histogram buckets of durations, in seconds.
 const TIME_BUCKETS: &[f64] = &[
     0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.33, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0,
 ];
 
-/// Every metric of one daemon.
+/// The metrics of an entry VM's daemon.
 pub struct EntryMetrics {
     registry: Registry,
     /// Requests by kind (`model`, `service`) and outcome (`ok` or an error code).
@@ -34,9 +34,9 @@
     pub peer_bytes: IntCounterVec,
     /// Datagrams and frames that were dropped, by reason.
     pub dropped: IntCounterVec,
-    /// Numbers of state: roll, roster epoch, groups and so on.
+    /// Gauges of the VM's state by name, such as the roll number, roster epoch and group count.
     pub state: IntGaugeVec,
-    /// Broken promises by name. Anything above zero is a defect.
+    /// Violated invariants by name. Any value above zero is a defect.
     pub violations: IntGaugeVec,
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl EntryMetrics {
-    /// All metrics at zero.
+    /// Creates and registers all metrics.
     pub fn new() -> Self {
         let registry = Registry::new();
         let counter = |name: &str, help: &str, labels: &[&str]| {
@@ -116,17 +116,21 @@
                 "Messages dropped by reason",
                 &["reason"],
             ),
-            state: gauge("bergamot_state", "Numbers of this VM's state", &["name"]),
+            state: gauge(
+                "bergamot_state",
+                "Gauges of this VM's state by name",
+                &["name"],
+            ),
             violations: gauge(
                 "bergamot_invariant_violations",
-                "Broken promises; anything above zero is a defect",
+                "Violated invariants; any value above zero is a defect",
                 &["invariant"],
             ),
             registry,
         }
     }
 
-    /// The text form of all metrics.
+    /// Returns all metrics in the text format.
     pub fn render(&self) -> String {
         for invariant in INVARIANTS {
             let name = format!("{invariant:?}");
@@ -141,7 +145,7 @@
         String::from_utf8_lossy(&text).into_owned()
     }
 
-    /// Sets one of the numbers of state.
+    /// Sets a gauge of the VM's state.
     pub fn set_state(&self, name: &str, value: i64) {
         self.state.with_label_values(&[name]).set(value);
     }
--- a/crates/entry/src/ring.rs
+++ b/crates/entry/src/ring.rs
@@ -1,19 +1,19 @@
-//! Bounded rings between duties. A full ring refuses, and the refusal is counted: nothing in this
-//! process waits without bound for another duty.
+//! Bounded queues between duties. A full queue refuses items and counts them, so that no duty
+//! waits for another without bound.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use tokio::sync::mpsc;
 
-/// What a ring has seen.
+/// Counters of a ring.
 #[derive(Debug, Default)]
 pub struct RingStats {
     pushed: AtomicU64,
     refused: AtomicU64,
 }
 
-/// The end of a ring that is written to.
+/// The sending half of a ring.
 #[derive(Debug)]
 pub struct RingSender<Item> {
     name: &'static str,
@@ -31,10 +31,10 @@
     }
 }
 
-/// The end of a ring that is read from.
+/// The receiving half of a ring.
 pub type RingReceiver<Item> = mpsc::Receiver<Item>;
 
-/// A ring that holds `size` items at most.
+/// Creates a ring that holds at most `size` items.
 pub fn ring<Item>(name: &'static str, size: usize) -> (RingSender<Item>, RingReceiver<Item>) {
     let (sender, receiver) = mpsc::channel(size);
     let stats = Arc::new(RingStats::default());
@@ -47,7 +47,7 @@
 }
 
 impl<Item> RingSender<Item> {
-    /// Writes an item; false if the ring is full or its reader is gone.
+    /// Adds an item. Returns `false` if the ring is full or its receiver was dropped.
     pub fn push(&self, item: Item) -> bool {
         let is_pushed = self.sender.try_send(item).is_ok();
         let counter = match is_pushed {
@@ -58,7 +58,7 @@
         is_pushed
     }
 
-    /// Items that wait, items written and items refused, for the dump.
+    /// Returns the numbers of waiting, added and refused items as JSON for the admin dump.
     pub fn dump(&self) -> serde_json::Value {
         serde_json::json!({
             "ring": self.name,
--- a/crates/entry/src/route_view.rs
+++ b/crates/entry/src/route_view.rs
@@ -1,4 +1,4 @@
-//! What the callers' side needs to know, as one snapshot that control replaces.
+//! The route snapshot that control publishes for the handling of callers' requests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,34 +10,35 @@
 use bergamot_types::prelude::*;
 use indexmap::IndexMap;
 
-/// A serving group with what is needed to ask its members.
+/// A serving group and the addresses of its members.
 #[derive(Clone, Debug)]
 pub struct GroupRoute {
     /// The group's id.
     pub id: GroupId,
-    /// The group as recorded.
+    /// The group's record.
     pub group: GroupRecord,
-    /// Its members, the leader first.
+    /// The group's members with their addresses, leader first.
     pub members: Vec<(VmId, SocketAddr)>,
 }
 
-/// The snapshot.
+/// A snapshot of everything that requests are routed by.
 #[derive(Clone, Debug, Default)]
 pub struct RouteView {
-    /// Grows with each snapshot.
+    /// The snapshot's number, which increases by one with each snapshot.
     pub version: u64,
-    /// The bundle in force.
+    /// The active bundle, if there is one.
     pub force: Option<Arc<ActiveBundle>>,
     /// Serving groups by model.
     pub models: IndexMap<ModelName, Vec<UpstreamFact>>,
-    /// How to ask the members of each serving group.
+    /// Records and member addresses of the serving groups.
     pub groups: IndexMap<UpstreamId, GroupRoute>,
     /// Instances of plain services.
     pub services: IndexMap<ServiceName, Vec<UpstreamFact>>,
     /// The roster.
     pub roster: Arc<RosterRecord>,
-    /// Members that are not suspected, this VM among them.
+    /// Members that are not suspected, including this VM.
     pub trusted: Vec<EntryId>,
-    /// Peers that could lend of an account's limit, by account hash.
+    /// Peers that could lend part of an account's limit, with the part in thousandths, by account
+    /// hash.
     pub lenders: IndexMap<u32, Vec<(EntryId, u16)>>,
 }
--- a/crates/entry/src/routing_state.rs
+++ b/crates/entry/src/routing_state.rs
@@ -1,5 +1,5 @@
-//! The state of routing on this VM. Each request touches it twice for a moment, from any worker
-//! of the callers' side, so it is behind one lock and not behind a ring.
+//! The routing state of this VM. Each request accesses it briefly twice, from any of the threads
+//! that serve callers, so it is guarded by a lock instead of being owned by a duty behind a ring.
 
 use std::sync::Arc;
 
@@ -16,17 +16,18 @@
 use crate::route_view::RouteView;
 use crate::settings::TuningSettings;
 
-/// What a request is for. Each kind has places of its own, so that models cannot starve services.
+/// The kind of route a request takes. Each kind has its own concurrency slots, so that model
+/// requests cannot starve services.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum PoolKind {
-    /// A model.
+    /// Requests to models.
     Model,
-    /// A plain service.
+    /// Requests to plain services.
     Service,
 }
 
 impl PoolKind {
-    /// The kind's name in metrics.
+    /// Returns the name used in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Model => "model",
@@ -35,7 +36,7 @@
     }
 }
 
-/// Names the balancer of a model or a service.
+/// Identifies the balancer of a model or a service.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub enum RouteName {
     /// A model.
@@ -44,17 +45,18 @@
     Service(ServiceName),
 }
 
-/// The answer to a request for a place.
+/// The reply to a request for a concurrency slot.
 pub enum Place {
-    /// Go on.
+    /// The request holds a slot and may proceed.
     Admitted,
-    /// Wait for the word.
+    /// The request is queued under this ticket. The receiver yields `None` once it is admitted, or
+    /// the error if it is rejected.
     Waiting(u64, oneshot::Receiver<Option<ErrorKind>>),
-    /// Refused.
+    /// The request was rejected with this error, and may be retried after this time.
     Refused(ErrorKind, Millis),
 }
 
-/// The state.
+/// Balancers, admission queues, limit shares and the retry budget of this VM.
 pub struct RoutingState {
     me: EntryId,
     balance: BalanceOptions,
@@ -69,17 +71,18 @@
     sampled_at: Millis,
 }
 
-/// Retries that may come at once.
+/// Number of retries that the budget allows in a burst.
 const RETRY_RESERVE: f64 = 20.0;
-/// Places beyond an equal share of the replicas' own, as callers do not spread evenly.
-const PLACE_HEADROOM: f64 = 1.5;
-/// Time between two samples of demand.
+/// Factor on an entry VM's equal share of the replicas' concurrency slots, as callers do not spread
+/// evenly over the entry VMs.
+const SLOT_HEADROOM: f64 = 1.5;
+/// Interval between samples of demand.
 const SAMPLE_PERIOD: Millis = Millis(250);
-/// Peers asked for a loan at once.
-const LENDERS_ASKED: usize = 2;
+/// Maximum number of peers that are asked for a loan at once.
+const MAX_LENDERS_ASKED: usize = 2;
 
 impl RoutingState {
-    /// A state without routes.
+    /// Creates a state without routes.
     pub fn new(me: EntryId, balance: BalanceOptions, tuning: TuningSettings) -> Self {
         let pool = |concurrency, queue| AdmissionQueue::new(PoolOptions { concurrency, queue });
         Self {
@@ -100,15 +103,15 @@
         }
     }
 
-    /// The newest snapshot.
+    /// Returns the latest route snapshot.
     pub fn view(&self) -> &Arc<RouteView> {
         &self.view
     }
 
-    /// Takes over a snapshot.
+    /// Replaces the route snapshot and updates the balancers and limits accordingly.
     pub fn take_view(&mut self, now: Millis, view: Arc<RouteView>) {
         self.shares.set_roster(&view.roster, &self.me);
-        let mut names = Vec::new();
+        let mut route_names = Vec::new();
         let models = view.models.iter();
         let models = models.map(|(name, facts)| (RouteName::Model(name.clone()), facts));
         let services = view.services.iter();
@@ -121,27 +124,27 @@
                 .entry(name.clone())
                 .or_insert_with(|| Balancer::new(balance.clone(), seed));
             balancer.replace(facts.clone());
-            names.push(name);
+            route_names.push(name);
         }
         for (name, balancer) in &mut self.balancers {
-            if !names.contains(name) {
+            if !route_names.contains(name) {
                 balancer.replace(Vec::new());
             }
         }
-        let replicas: usize = view.models.values().map(Vec::len).sum();
-        let entries = view.trusted.len().max(1) as f64;
-        let places = (self.tuning.requests_per_replica * replicas) as f64;
-        let places = (places * PLACE_HEADROOM / entries).ceil();
-        self.pools[PoolKind::Model as usize].set_concurrency(places as usize);
+        let replica_count: usize = view.models.values().map(Vec::len).sum();
+        let entry_count = view.trusted.len().max(1) as f64;
+        let slots = (self.tuning.requests_per_replica * replica_count) as f64;
+        let slots = (slots * SLOT_HEADROOM / entry_count).ceil();
+        self.pools[PoolKind::Model as usize].set_concurrency(slots as usize);
         self.view = view;
         self.set_quotas(now);
     }
 
     fn set_quotas(&mut self, now: Millis) {
-        let Some(force) = self.view.force.clone() else {
+        let Some(active_bundle) = self.view.force.clone() else {
             return;
         };
-        for account in &force.document.accounts {
+        for account in &active_bundle.document.accounts {
             let share = self.shares.share(now, &account.name);
             Invariant::LimitSum.check(share <= 1.0 + 1e-6, || {
                 format!("account={} share={share}", account.name)
@@ -156,7 +159,7 @@
         }
     }
 
-    /// Asks for a place.
+    /// Requests a concurrency slot.
     pub fn ask_place(
         &mut self,
         now: Millis,
@@ -184,13 +187,13 @@
         }
     }
 
-    /// Forgets a request that waits no more.
+    /// Removes a request from the queue after its caller stopped waiting.
     pub fn cancel_place(&mut self, pool: PoolKind, ticket: u64) {
         self.waiting.swap_remove(&ticket);
         self.pools[pool as usize].cancel(ticket);
     }
 
-    /// Gives a place back.
+    /// Releases a concurrency slot and admits queued requests.
     pub fn release_place(
         &mut self,
         now: Millis,
@@ -204,86 +207,89 @@
 
     fn admit_waiting(&mut self, now: Millis) {
         for index in 0..self.pools.len() {
-            for decided in self.pools[index].poll(now) {
-                let word = self.waiting.swap_remove(&decided.ticket);
-                let is_heard = word.is_some_and(|word| word.send(decided.refusal).is_ok());
-                if !is_heard && decided.refusal.is_none() {
-                    log::debug!("event=place_unclaimed ticket={}", decided.ticket);
+            for decision in self.pools[index].poll(now) {
+                let reply_sender = self.waiting.swap_remove(&decision.ticket);
+                let is_delivered = reply_sender
+                    .is_some_and(|reply_sender| reply_sender.send(decision.refusal).is_ok());
+                if !is_delivered && decision.refusal.is_none() {
+                    log::debug!("event=place_unclaimed ticket={}", decision.ticket);
                 }
             }
         }
     }
 
-    /// Chooses an upstream.
+    /// Picks an upstream for a request.
     pub fn pick(&mut self, now: Millis, route: &RouteName, request: &PickRequest<'_>) -> Choice {
         let balancer = self.balancers.get_mut(route);
         balancer.map_or(Choice::None, |balancer| balancer.pick(now, request))
     }
 
-    /// The balancer of a model or service.
+    /// Returns the balancer of a model or service.
     pub fn balancer(&mut self, route: &RouteName) -> Option<&mut Balancer> {
         self.balancers.get_mut(route)
     }
 
-    /// The retry budget.
+    /// Returns the retry budget.
     pub fn retries(&mut self) -> &mut RetryBudget {
         &mut self.retries
     }
 
-    /// Samples demand, lets waiting requests on, and returns loans to ask for, with whom to ask.
+    /// Samples demand, admits queued requests, and returns the loan requests to send to peers.
     pub fn tick(&mut self, now: Millis) -> Vec<(EntryId, LoanRequest)> {
         self.sample_demand(now);
         self.set_quotas(now);
         self.admit_waiting(now);
-        let Some(force) = self.view.force.clone() else {
+        let Some(active_bundle) = self.view.force.clone() else {
             return Vec::new();
         };
-        let mut questions = Vec::new();
-        for account in &force.document.accounts {
-            let Some(mut wish) = self
-                .shares
-                .needed_loan(now, &account.name, force.record.number)
+        let mut loan_requests = Vec::new();
+        for account in &active_bundle.document.accounts {
+            let Some(mut needed_loan) =
+                self.shares
+                    .needed_loan(now, &account.name, active_bundle.record.number)
             else {
                 continue;
             };
             let hash = DemandFact::account_hash(&account.name);
             let lenders = match self.view.lenders.get(&hash) {
                 Some(lenders) => lenders.clone(),
-                None => self.any_lenders(now),
+                None => self.fallback_lenders(now),
             };
-            for (lender, slack) in lenders.iter().take(LENDERS_ASKED) {
+            for (lender, slack) in lenders.iter().take(MAX_LENDERS_ASKED) {
                 let offer = f64::from(*slack) / 1_000.0;
-                if offer <= 0.0 || wish.wanted <= 0.0 {
+                if offer <= 0.0 || needed_loan.wanted <= 0.0 {
                     break;
                 }
-                let part = self.shares.request_loan(&wish, wish.wanted.min(offer));
-                wish.wanted -= part.wanted;
-                questions.push((lender.clone(), part));
+                let request = self
+                    .shares
+                    .request_loan(&needed_loan, needed_loan.wanted.min(offer));
+                needed_loan.wanted -= request.wanted;
+                loan_requests.push((lender.clone(), request));
             }
         }
-        questions
+        loan_requests
     }
 
-    /// Members to ask when nobody's offer is known, others with each period.
-    fn any_lenders(&self, now: Millis) -> Vec<(EntryId, u16)> {
-        const ALL: u16 = 1_000;
+    /// Returns members to ask when no offer is known. The selection rotates each period.
+    fn fallback_lenders(&self, now: Millis) -> Vec<(EntryId, u16)> {
+        const WHOLE_LIMIT: u16 = 1_000;
         let members = &self.view.roster.members;
-        let others: Vec<&EntryId> = members
+        let peers: Vec<&EntryId> = members
             .iter()
             .map(|member| &member.entry)
             .filter(|entry| **entry != self.me)
             .collect();
         let start = (now.0 / SAMPLE_PERIOD.0) as usize;
-        (0..others.len().min(LENDERS_ASKED))
-            .map(|step| (others[(start + step) % others.len()].clone(), ALL))
+        (0..peers.len().min(MAX_LENDERS_ASKED))
+            .map(|step| (peers[(start + step) % peers.len()].clone(), WHOLE_LIMIT))
             .collect()
     }
 
-    /// Whether this VM may use some of every account's limit.
+    /// Whether this VM has a share of every account's limit.
     pub fn has_share(&self, now: Millis) -> bool {
-        let force = self.view.force.as_ref();
-        force.is_some_and(|force| {
-            let accounts = &force.document.accounts;
+        let active_bundle = self.view.force.as_ref();
+        active_bundle.is_some_and(|active_bundle| {
+            let accounts = &active_bundle.document.accounts;
             accounts
                 .iter()
                 .all(|account| self.shares.share(now, &account.name) > 0.0)
@@ -291,33 +297,33 @@
     }
 
     fn sample_demand(&mut self, now: Millis) {
-        let span = now.since(self.sampled_at);
-        if span < SAMPLE_PERIOD {
+        let elapsed = now.since(self.sampled_at);
+        if elapsed < SAMPLE_PERIOD {
             return;
         }
         self.sampled_at = now;
-        let Some(force) = self.view.force.clone() else {
+        let Some(active_bundle) = self.view.force.clone() else {
             return;
         };
-        for account in &force.document.accounts {
+        for account in &active_bundle.document.accounts {
             let mut demand: f64 = 0.0;
             for pool in &mut self.pools {
-                let asked = pool.take_request_count(&account.name) as f64;
-                let rate = asked / span.as_secs_f64() / account.requests_per_second;
-                let wanted = pool.demand(&account.name) as f64;
-                let places = wanted / f64::from(account.concurrency.max(1));
-                demand = demand.max(rate).max(places);
+                let request_count = pool.take_request_count(&account.name) as f64;
+                let rate = request_count / elapsed.as_secs_f64() / account.requests_per_second;
+                let slot_demand = pool.demand(&account.name) as f64;
+                let slots = slot_demand / f64::from(account.concurrency.max(1));
+                demand = demand.max(rate).max(slots);
             }
             self.shares.record_demand(&account.name, demand);
         }
     }
 
-    /// What this VM could lend of each account's limit.
+    /// Returns the part of each account's limit that this VM could lend.
     pub fn slack(&self, now: Millis) -> Vec<DemandFact> {
-        let Some(force) = self.view.force.as_ref() else {
+        let Some(active_bundle) = self.view.force.as_ref() else {
             return Vec::new();
         };
-        let accounts = force.document.accounts.iter();
+        let accounts = active_bundle.document.accounts.iter();
         accounts
             .map(|account| DemandFact {
                 account: DemandFact::account_hash(&account.name),
@@ -327,34 +333,35 @@
             .collect()
     }
 
-    /// Answers a peer's question for a loan.
-    pub fn lend(&mut self, now: Millis, question: &LoanRequest) -> LoanReply {
-        let force = self.view.force.as_ref();
-        let roll = force.map_or(0, |force| force.record.number);
-        let lend = self.shares.lend(now, question, roll);
+    /// Answers a peer's loan request.
+    pub fn lend(&mut self, now: Millis, request: &LoanRequest) -> LoanReply {
+        let active_bundle = self.view.force.as_ref();
+        let roll = active_bundle.map_or(0, |active_bundle| active_bundle.record.number);
+        let reply = self.shares.lend(now, request, roll);
         self.set_quotas(now);
-        lend
+        reply
     }
 
-    /// Takes a peer's answer.
-    pub fn take_lend(&mut self, now: Millis, asked: Millis, answer: &LoanReply) {
-        self.shares.accept_loan(now, asked, answer);
+    /// Adds a loan from a peer's reply and admits queued requests. `asked` is when the request was
+    /// sent.
+    pub fn take_lend(&mut self, now: Millis, asked: Millis, reply: &LoanReply) {
+        self.shares.accept_loan(now, asked, reply);
         self.set_quotas(now);
         self.admit_waiting(now);
     }
 
-    /// Requests that go on, by pool.
+    /// Returns the number of admitted requests in a pool.
     pub fn running(&self, pool: PoolKind) -> usize {
         self.pools[pool as usize].running_total()
     }
 
-    /// The state as JSON, for the dump.
+    /// Returns the state as JSON for the admin dump.
     pub fn dump(&self, now: Millis) -> serde_json::Value {
         let limits: Vec<serde_json::Value> = self
             .view
             .force
             .iter()
-            .flat_map(|force| &force.document.accounts)
+            .flat_map(|active_bundle| &active_bundle.document.accounts)
             .map(|account| {
                 serde_json::json!({
                     "account": account.name,
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -1,4 +1,4 @@
-//! The daemon's settings: one JSON file, checked before anything starts.
+//! Settings of the daemon. They are read from a JSON file and validated before anything starts.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -9,43 +9,43 @@
 use bergamot_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// Everything the daemon is told.
+/// All settings of the daemon.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntrySettings {
     /// This entry VM's name.
     pub entry: EntryId,
-    /// Its name in the platform's list.
+    /// This VM's name in the platform's VM list.
     pub vm: VmId,
-    /// Its failure domain.
+    /// This VM's failure domain.
     pub failure_domain: FailureDomain,
-    /// Where callers connect. Port 0 takes any.
+    /// Address that callers connect to. Port 0 lets the system choose a port.
     pub caller_addr: SocketAddr,
-    /// Where peers connect, UDP and TCP alike.
+    /// Address that peers connect to, for both UDP and TCP.
     pub peer_addr: SocketAddr,
-    /// Where operators connect.
+    /// Address that operators connect to.
     pub admin_addr: SocketAddr,
-    /// The key-value service, such as `http://10.0.0.5:2379`.
+    /// URL of the key-value store, such as `http://10.0.0.5:2379`.
     pub kv_url: String,
-    /// The VM list.
+    /// URL of the VM list.
     pub vm_list_url: String,
-    /// The operators that are trusted.
+    /// Keys of the trusted operators.
     pub operators: KeyRing,
-    /// TLS towards callers; none for plain text.
+    /// TLS for callers' connections; `None` for plain text.
     #[serde(default)]
     pub tls: Option<TlsSettings>,
-    /// Times and sizes.
+    /// Timeouts, intervals and limits.
     #[serde(default)]
     pub tuning: TuningSettings,
-    /// How groups are placed and repaired.
+    /// Settings of group placement and repair.
     #[serde(default)]
     pub placement: PlacementOptions,
-    /// How upstreams are chosen.
+    /// Settings of load balancing between upstreams.
     #[serde(default)]
     pub balance: BalanceOptions,
 }
 
-/// TLS towards callers. The files are read again when they change.
+/// TLS for callers' connections. The files are reloaded when they change.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TlsSettings {
@@ -55,65 +55,65 @@
     pub key_file: PathBuf,
 }
 
-/// Times and sizes. Times are in milliseconds.
+/// Timeouts, intervals and limits. Times are in milliseconds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct TuningSettings {
-    /// Worker threads of the callers' side.
+    /// Number of worker threads that serve callers.
     pub caller_threads: usize,
-    /// The largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// The time a request body may take to arrive.
+    /// Timeout for receiving a request body.
     pub body_timeout: Millis,
-    /// The deadline of a request that names none.
+    /// Deadline of a request that does not specify one.
     pub default_deadline: Millis,
-    /// The longest deadline a caller may name.
+    /// Longest deadline that a caller may specify.
     pub max_deadline: Millis,
-    /// Model requests that go on at once for each routable replica.
+    /// Maximum number of concurrent model requests per routable replica.
     pub requests_per_replica: usize,
-    /// Model requests that wait at most.
+    /// Maximum number of queued model requests.
     pub model_queue: usize,
-    /// Service calls that go on at once.
+    /// Maximum number of concurrent service calls.
     pub service_concurrency: usize,
-    /// Service calls that wait at most.
+    /// Maximum number of queued service calls.
     pub service_queue: usize,
-    /// Share of requests that may be sent again.
+    /// Share of requests that may be retried.
     pub retry_share: f64,
-    /// Attempts at one request at most.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Time for a connection to an upstream.
+    /// Timeout for connecting to an upstream.
     pub connect_timeout: Millis,
-    /// The longest silence of a stream before it counts as broken.
+    /// How long a stream may be idle before it counts as broken.
     pub stream_idle: Millis,
-    /// Time between probes of one upstream by one prober.
+    /// Interval between probes of an upstream by one prober.
     pub probe_period: Millis,
-    /// Time for one probe or order.
+    /// Timeout of a probe or an order.
     pub probe_timeout: Millis,
-    /// Time between reads of the roll.
+    /// Interval between reads of the roll.
     pub sync_period: Millis,
-    /// Time between reads of the roster. Peers tell of a newer one in between.
+    /// Interval between reads of the roster. In between, peers announce newer versions.
     pub roster_period: Millis,
-    /// Time between reads of the VM list.
+    /// Interval between reads of the VM list.
     pub vm_list_period: Millis,
-    /// Time between reads of other failure domains' groups.
+    /// Interval between reads of other failure domains' group records.
     pub remote_period: Millis,
-    /// Time for one call to the platform.
+    /// Timeout of a call to the platform.
     pub platform_timeout: Millis,
-    /// Calls to the key-value service per second.
+    /// Maximum rate of calls to the key-value store, per second.
     pub kv_calls_per_second: f64,
-    /// Time between heartbeats.
+    /// Interval between heartbeats.
     pub heartbeat_period: Millis,
-    /// Silence that raises suspicion of a peer.
+    /// How long a peer may send no heartbeat before it is suspected.
     pub suspect_after: Millis,
-    /// Time for one question to a peer.
+    /// Timeout of a query to a peer.
     pub peer_timeout: Millis,
-    /// How long answers are kept for repeats.
+    /// How long answers are stored for retries of the same request.
     pub keep_answers: Millis,
-    /// The largest answer kept for repeats, in bytes.
+    /// Maximum size of a stored answer, in bytes.
     pub max_kept_bytes: usize,
-    /// Time in which a group of a new roll must come up before the roll stops.
+    /// How long a group of a new roll may take to start serving before the roll is stopped.
     pub gate_timeout: Millis,
-    /// Time for what is in flight when the daemon is stopped.
+    /// How long a stop waits for requests in flight.
     pub stop_deadline: Millis,
 }
 
@@ -153,23 +153,23 @@
 }
 
 impl EntrySettings {
-    /// Reads and checks a file.
+    /// Loads and validates a settings file.
     ///
     /// # Errors
-    /// Says file, field and reason.
+    /// Returns an error with the file, the field and the reason.
     pub fn load(path: &Path) -> anyhow::Result<Self> {
-        let shown = path.display();
+        let file = path.display();
         let text = std::fs::read_to_string(path)
-            .map_err(|error| anyhow::anyhow!("{shown}: cannot be read: {error}"))?;
+            .map_err(|error| anyhow::anyhow!("{file}: cannot be read: {error}"))?;
         let settings: Self =
-            serde_json::from_str(&text).map_err(|error| anyhow::anyhow!("{shown}: {error}"))?;
+            serde_json::from_str(&text).map_err(|error| anyhow::anyhow!("{file}: {error}"))?;
         match settings.problem() {
-            Some((field, reason)) => Err(anyhow::anyhow!("{shown}: {field}: {reason}")),
+            Some((field, reason)) => Err(anyhow::anyhow!("{file}: {field}: {reason}")),
             None => Ok(settings),
         }
     }
 
-    /// The first field that is contradictory, with the reason.
+    /// Returns the first invalid field and the reason, if any.
     pub fn problem(&self) -> Option<(&'static str, String)> {
         let tuning = &self.tuning;
         let rules: [(bool, &'static str, &str); 10] = [
@@ -203,17 +203,17 @@
             (
                 tuning.default_deadline > tuning.max_deadline,
                 "tuning.default_deadline",
-                "must not be over max_deadline",
+                "must not exceed max_deadline",
             ),
             (
                 tuning.probe_period + tuning.probe_timeout > self.balance.evidence_max_age,
                 "tuning.probe_period",
-                "with probe_timeout must not be over balance.evidence_max_age, or no evidence is ever fresh",
+                "probe_period plus probe_timeout must not exceed balance.evidence_max_age, or evidence expires before the next probe",
             ),
             (
                 self.placement.min_drain < self.balance.evidence_max_age,
                 "placement.min_drain",
-                "must not be below balance.evidence_max_age, or a group is released while others still send to it",
+                "must not be below balance.evidence_max_age, or a group is released while other entry VMs send requests to it",
             ),
             (
                 !(0.0..=1.0).contains(&tuning.retry_share),
@@ -223,25 +223,25 @@
         ];
         rules
             .into_iter()
-            .find(|(is_wrong, ..)| *is_wrong)
+            .find(|(is_violated, ..)| *is_violated)
             .map(|(_, field, reason)| (field, reason.to_owned()))
     }
 
-    /// Settings that work on one machine, for `--print-default`.
+    /// Returns settings for a single VM, as printed by `--print-default`.
     pub fn sample() -> Self {
-        let local = |port| SocketAddr::from(([127, 0, 0, 1], port));
-        let signer = bergamot_bundle::SignerKey::from_seed(&[0; 32]).public();
+        let loopback = |port| SocketAddr::from(([127, 0, 0, 1], port));
+        let signer_key = bergamot_bundle::SignerKey::from_seed(&[0; 32]).public();
         Self {
             entry: EntryId::from("entry-1"),
             vm: VmId::from("vm-entry-1"),
             failure_domain: FailureDomain::from("fd-1"),
-            caller_addr: local(8080),
-            peer_addr: local(8081),
-            admin_addr: local(8082),
+            caller_addr: loopback(8080),
+            peer_addr: loopback(8081),
+            admin_addr: loopback(8082),
             kv_url: "http://127.0.0.1:2379".to_owned(),
             vm_list_url: "http://127.0.0.1:2380".to_owned(),
             operators: KeyRing {
-                signers: [signer].into(),
+                signers: [signer_key].into(),
                 threshold: 1,
             },
             tls: None,
--- a/crates/entry/src/tls.rs
+++ b/crates/entry/src/tls.rs
@@ -1,4 +1,4 @@
-//! TLS towards callers. The certificate is read again when its files change.
+//! TLS for callers' connections. The certificate is reloaded when its files change.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -13,40 +13,40 @@
 
 use crate::settings::TlsSettings;
 
-/// The acceptor in force.
+/// Holds the current TLS acceptor and reloads it when the files change.
 pub struct TlsKeeper {
     settings: TlsSettings,
     acceptor: ArcSwap<TlsAcceptor>,
-    read_at: parking_lot::Mutex<Option<SystemTime>>,
+    modified_at: parking_lot::Mutex<Option<SystemTime>>,
 }
 
 impl TlsKeeper {
-    /// Reads certificate and key.
+    /// Loads the certificate and the key.
     ///
     /// # Errors
-    /// When a file cannot be read or the two do not fit.
+    /// Returns an error if a file cannot be read or the key does not match the certificate.
     pub fn load(settings: &TlsSettings) -> anyhow::Result<Self> {
         Ok(Self {
             settings: settings.clone(),
-            acceptor: ArcSwap::from_pointee(read(settings)?),
-            read_at: parking_lot::Mutex::new(changed_at(settings)),
+            acceptor: ArcSwap::from_pointee(load_acceptor(settings)?),
+            modified_at: parking_lot::Mutex::new(latest_modification(settings)),
         })
     }
 
-    /// The acceptor in force.
+    /// Returns the current acceptor.
     pub fn acceptor(&self) -> Arc<TlsAcceptor> {
         self.acceptor.load_full()
     }
 
-    /// Reads the files again if they changed; keeps what is in force if they are unfit.
+    /// Reloads the files if they changed. Keeps the current acceptor if they are invalid.
     pub fn refresh(&self) {
-        let changed = changed_at(&self.settings);
-        let mut read_at = self.read_at.lock();
-        if *read_at == changed {
+        let modified = latest_modification(&self.settings);
+        let mut modified_at = self.modified_at.lock();
+        if *modified_at == modified {
             return;
         }
-        *read_at = changed;
-        match read(&self.settings) {
+        *modified_at = modified;
+        match load_acceptor(&self.settings) {
             Ok(acceptor) => {
                 self.acceptor.store(Arc::new(acceptor));
                 log::info!("event=tls_reloaded");
@@ -56,22 +56,22 @@
     }
 }
 
-fn changed_at(settings: &TlsSettings) -> Option<SystemTime> {
-    let at = |path: &Path| std::fs::metadata(path).and_then(|m| m.modified()).ok();
-    at(&settings.certificate_file).max(at(&settings.key_file))
+fn latest_modification(settings: &TlsSettings) -> Option<SystemTime> {
+    let modification_time = |path: &Path| std::fs::metadata(path).and_then(|m| m.modified()).ok();
+    modification_time(&settings.certificate_file).max(modification_time(&settings.key_file))
 }
 
-fn read(settings: &TlsSettings) -> anyhow::Result<TlsAcceptor> {
+fn load_acceptor(settings: &TlsSettings) -> anyhow::Result<TlsAcceptor> {
     let chain: Vec<CertificateDer<'static>> =
         CertificateDer::pem_file_iter(&settings.certificate_file)
             .and_then(Iterator::collect)
-            .with_context(|| format!("certificate {}", settings.certificate_file.display()))?;
+            .with_context(|| format!("certificate file {}", settings.certificate_file.display()))?;
     let key = PrivateKeyDer::from_pem_file(&settings.key_file)
-        .with_context(|| format!("key {}", settings.key_file.display()))?;
+        .with_context(|| format!("key file {}", settings.key_file.display()))?;
     let mut config = ServerConfig::builder()
         .with_no_client_auth()
         .with_single_cert(chain, key)
-        .context("certificate and key do not fit")?;
+        .context("private key does not match the certificate")?;
     config.alpn_protocols = vec![b"h2".to_vec(), b"http/1.1".to_vec()];
     Ok(TlsAcceptor::from(Arc::new(config)))
 }
