--- a/crates/entry/src/control/lead.rs
+++ b/crates/entry/src/control/lead.rs
@@ -61,7 +61,7 @@
 
     /// Distributes the wanted replicas over the fabric domains and passes each its share.
     pub(super) fn distribute_wanted(&mut self, now: Millis) {
-        let Some(active_bundle) = self.force().cloned() else {
+        let Some(active_bundle) = self.active_bundle().cloned() else {
             return;
         };
         let capacities = self.capacities(now);
@@ -143,7 +143,7 @@
         shares: &IndexMap<FabricDomain, Vec<WantedModel>>,
     ) -> IndexMap<FailureDomain, StageHealth> {
         let mut health: IndexMap<FailureDomain, StageHealth> = IndexMap::new();
-        let Some(active_bundle) = self.force() else {
+        let Some(active_bundle) = self.active_bundle() else {
             return health;
         };
         let is_current = |model: &bergamot_placement::ModelRef| {
--- a/crates/entry/src/control/route.rs
+++ b/crates/entry/src/control/route.rs
@@ -25,7 +25,7 @@
         }
         let mut view = RouteView {
             version: self.view_version,
-            force: self.force().cloned(),
+            active_bundle: self.active_bundle().cloned(),
             roster: Arc::clone(&self.roster_view),
             trusted: self
                 .roster
--- a/crates/entry/src/control/state.rs
+++ b/crates/entry/src/control/state.rs
@@ -121,7 +121,7 @@
     }
 
     /// Returns the active bundle.
-    pub fn force(&self) -> Option<&Arc<ActiveBundle>> {
+    pub fn active_bundle(&self) -> Option<&Arc<ActiveBundle>> {
         self.rolls.current()
     }
 
@@ -344,8 +344,8 @@
             },
             "roll": {
                 "number": self.rolls.number(),
-                "record": self.force().map(|active_bundle| &active_bundle.record),
-                "version": self.force().map(|active_bundle| &active_bundle.document.version),
+                "record": self.active_bundle().map(|active_bundle| &active_bundle.record),
+                "version": self.active_bundle().map(|active_bundle| &active_bundle.document.version),
                 "seen_by_peers": self.peer_rolls,
                 "gate": self.roll_stop_reason,
             },
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -247,7 +247,9 @@
     /// Returns the number of the active roll, or zero before the first.
     pub fn roll_number(&self) -> u64 {
         let view = self.shared.view.load();
-        view.force.as_ref().map_or(0, |force| force.record.number)
+        view.active_bundle
+            .as_ref()
+            .map_or(0, |active_bundle| active_bundle.record.number)
     }
 
     /// Returns the number of roster members, or `None` unless all had settled on the roster when it
--- a/crates/entry/src/duty/admin.rs
+++ b/crates/entry/src/duty/admin.rs
@@ -81,7 +81,7 @@
     if shared.is_stopping() {
         return Some("stopping");
     }
-    if shared.view.load().force.is_none() {
+    if shared.view.load().active_bundle.is_none() {
         return Some("no bundle is in force");
     }
     if !shared.routing.lock().has_share(shared.clock.now()) {
--- a/crates/entry/src/duty/control.rs
+++ b/crates/entry/src/duty/control.rs
@@ -46,7 +46,7 @@
 }
 
 fn set_gauges(shared: &SharedState, state: &ControlState) {
-    let roll = state.force().map_or(0, |force| force.record.number);
+    let roll = state.active_bundle().map_or(0, |force| force.record.number);
     let metrics = &shared.metrics;
     metrics.set_state("roll", roll as i64);
     let roster = state.roster().record();
--- a/crates/entry/src/duty/peer.rs
+++ b/crates/entry/src/duty/peer.rs
@@ -198,7 +198,7 @@
         Question::Roll { newer_than } => {
             let view = shared.view.load();
             let newer = view
-                .force
+                .active_bundle
                 .as_ref()
                 .filter(|force| force.record.number > newer_than);
             Answer::Roll(newer.map(|force| Box::new((force.record.clone(), force.signed.clone()))))
--- a/crates/entry/src/front/request.rs
+++ b/crates/entry/src/front/request.rs
@@ -158,7 +158,7 @@
 /// [`ErrorKind::NoBundle`] before the first.
 pub fn bundle(context: &FrontContext) -> Result<Arc<ActiveBundle>, ErrorKind> {
     let view = context.shared.view.load();
-    view.force.clone().ok_or(ErrorKind::NoBundle)
+    view.active_bundle.clone().ok_or(ErrorKind::NoBundle)
 }
 
 /// Checks that an account is on a list.
--- a/crates/entry/src/route_view.rs
+++ b/crates/entry/src/route_view.rs
@@ -27,7 +27,7 @@
     /// The snapshot's number, which increases by one with each snapshot.
     pub version: u64,
     /// The active bundle, if there is one.
-    pub force: Option<Arc<ActiveBundle>>,
+    pub active_bundle: Option<Arc<ActiveBundle>>,
     /// Serving groups by model.
     pub models: IndexMap<ModelName, Vec<UpstreamFact>>,
     /// Records and member addresses of the serving groups.
--- a/crates/entry/src/routing_state.rs
+++ b/crates/entry/src/routing_state.rs
@@ -141,7 +141,7 @@
     }
 
     fn set_quotas(&mut self, now: Millis) {
-        let Some(active_bundle) = self.view.force.clone() else {
+        let Some(active_bundle) = self.view.active_bundle.clone() else {
             return;
         };
         for account in &active_bundle.document.accounts {
@@ -239,7 +239,7 @@
         self.sample_demand(now);
         self.set_quotas(now);
         self.admit_waiting(now);
-        let Some(active_bundle) = self.view.force.clone() else {
+        let Some(active_bundle) = self.view.active_bundle.clone() else {
             return Vec::new();
         };
         let mut loan_requests = Vec::new();
@@ -287,7 +287,7 @@
 
     /// Whether this VM has a share of every account's limit.
     pub fn has_share(&self, now: Millis) -> bool {
-        let active_bundle = self.view.force.as_ref();
+        let active_bundle = self.view.active_bundle.as_ref();
         active_bundle.is_some_and(|active_bundle| {
             let accounts = &active_bundle.document.accounts;
             accounts
@@ -302,7 +302,7 @@
             return;
         }
         self.sampled_at = now;
-        let Some(active_bundle) = self.view.force.clone() else {
+        let Some(active_bundle) = self.view.active_bundle.clone() else {
             return;
         };
         for account in &active_bundle.document.accounts {
@@ -320,7 +320,7 @@
 
     /// Returns the part of each account's limit that this VM could lend.
     pub fn slack(&self, now: Millis) -> Vec<DemandFact> {
-        let Some(active_bundle) = self.view.force.as_ref() else {
+        let Some(active_bundle) = self.view.active_bundle.as_ref() else {
             return Vec::new();
         };
         let accounts = active_bundle.document.accounts.iter();
@@ -335,7 +335,7 @@
 
     /// Answers a peer's loan request.
     pub fn lend(&mut self, now: Millis, request: &LoanRequest) -> LoanReply {
-        let active_bundle = self.view.force.as_ref();
+        let active_bundle = self.view.active_bundle.as_ref();
         let roll = active_bundle.map_or(0, |active_bundle| active_bundle.record.number);
         let reply = self.shares.lend(now, request, roll);
         self.set_quotas(now);
@@ -359,7 +359,7 @@
     pub fn dump(&self, now: Millis) -> serde_json::Value {
         let limits: Vec<serde_json::Value> = self
             .view
-            .force
+            .active_bundle
             .iter()
             .flat_map(|active_bundle| &active_bundle.document.accounts)
             .map(|account| {
--- a/crates/proof/tests/control/main.rs
+++ b/crates/proof/tests/control/main.rs
@@ -218,7 +218,7 @@
                 self.swap(daemon, incarnation, &key, expected, &value, nonce)?;
             }
             Message::AskRoll(daemon, incarnation, peer, newer_than) => {
-                let active_roll = self.daemons[peer].state.force().cloned();
+                let active_roll = self.daemons[peer].state.active_bundle().cloned();
                 if let Some(active_roll) =
                     active_roll.filter(|active_roll| active_roll.record.number > newer_than)
                 {
--- a/crates/proof/tests/control/system_faults.rs
+++ b/crates/proof/tests/control/system_faults.rs
@@ -135,7 +135,10 @@
                     daemon.roll, newest_roll.number
                 ));
             }
-            let active_roll = daemon.state.force().ok_or("a daemon has no active roll")?;
+            let active_roll = daemon
+                .state
+                .active_bundle()
+                .ok_or("a daemon has no active roll")?;
             let wanted_version = active_roll.document.models[0].version.clone();
             let routes = daemon.view.groups.values();
             let current_routes = routes.filter(|route| route.group.model.version == wanted_version);
