--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -12,7 +12,7 @@
 use super::answer::Refusal;
 use super::probe::probe_group;
 use super::server::InFlight;
-use crate::routing_state::{Place, PoolKind, RouteName};
+use crate::routing_state::{PoolKind, RouteName, SlotReply};
 
 /// A request that has a place.
 pub struct CallContext {
@@ -65,7 +65,7 @@
         let now = shared.clock.now();
         let took = now.since(self.since);
         let mut routing = shared.routing.lock();
-        routing.release_place(now, self.pool, &self.account, took);
+        routing.release_slot(now, self.pool, &self.account, took);
         let gauge = &shared.metrics.in_flight;
         gauge.with_label_values(&[self.pool.as_str()]).dec();
     }
@@ -85,7 +85,7 @@
         if !self.is_done {
             let shared = &self.front.shared;
             let mut routing = shared.routing.lock();
-            routing.cancel_place(self.pool, self.ticket);
+            routing.cancel_slot_request(self.pool, self.ticket);
         }
     }
 }
@@ -106,15 +106,17 @@
             RouteName::Service(_) => PoolKind::Service,
         };
         let now = shared.clock.now();
-        let asked =
-            shared
-                .routing
-                .lock()
-                .ask_place(now, pool, &spec.account, spec.priority, spec.deadline);
+        let asked = shared.routing.lock().request_slot(
+            now,
+            pool,
+            &spec.account,
+            spec.priority,
+            spec.deadline,
+        );
         match asked {
-            Place::Admitted => {}
-            Place::Refused(kind, retry_after) => return Err(Refusal { kind, retry_after }),
-            Place::Waiting(ticket, word) => {
+            SlotReply::Admitted => {}
+            SlotReply::Refused(kind, retry_after) => return Err(Refusal { kind, retry_after }),
+            SlotReply::Waiting(ticket, word) => {
                 let mut guard = WaitGuard {
                     front,
                     pool,
--- a/crates/entry/src/routing_state.rs
+++ b/crates/entry/src/routing_state.rs
@@ -46,7 +46,7 @@
 }
 
 /// The reply to a request for a concurrency slot.
-pub enum Place {
+pub enum SlotReply {
     /// The request holds a slot and may proceed.
     Admitted,
     /// The request is queued under this ticket. The receiver yields `None` once it is admitted, or
@@ -160,14 +160,14 @@
     }
 
     /// Requests a concurrency slot.
-    pub fn ask_place(
+    pub fn request_slot(
         &mut self,
         now: Millis,
         pool: PoolKind,
         account: &ClientAccount,
         priority: u8,
         deadline: Millis,
-    ) -> Place {
+    ) -> SlotReply {
         let ticket = self.next_ticket;
         self.next_ticket += 1;
         let request = AdmissionRequest {
@@ -177,24 +177,24 @@
             deadline,
         };
         match self.pools[pool as usize].admit(now, request) {
-            AdmissionOutcome::Admitted => Place::Admitted,
-            AdmissionOutcome::Rejected(kind, wait) => Place::Refused(kind, wait),
+            AdmissionOutcome::Admitted => SlotReply::Admitted,
+            AdmissionOutcome::Rejected(kind, wait) => SlotReply::Refused(kind, wait),
             AdmissionOutcome::Queued => {
                 let (sender, receiver) = oneshot::channel();
                 self.waiting.insert(ticket, sender);
-                Place::Waiting(ticket, receiver)
+                SlotReply::Waiting(ticket, receiver)
             }
         }
     }
 
     /// Removes a request from the queue after its caller stopped waiting.
-    pub fn cancel_place(&mut self, pool: PoolKind, ticket: u64) {
+    pub fn cancel_slot_request(&mut self, pool: PoolKind, ticket: u64) {
         self.waiting.swap_remove(&ticket);
         self.pools[pool as usize].cancel(ticket);
     }
 
     /// Releases a concurrency slot and admits queued requests.
-    pub fn release_place(
+    pub fn release_slot(
         &mut self,
         now: Millis,
         pool: PoolKind,
