--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -25,7 +25,7 @@
 use crate::route_view::RouteView;
 use crate::routing_state::RoutingState;
 use crate::settings::EntrySettings;
-use crate::tls::TlsKeeper;
+use crate::tls::TlsReloader;
 
 /// Capacity of the ring to the control duty, in items.
 const CONTROL_RING_SIZE: usize = 8_192;
@@ -77,7 +77,7 @@
         let admin_listener = std::net::TcpListener::bind(settings.admin_addr)
             .with_context(|| format!("admin_addr {}", settings.admin_addr))?;
         let (peer_listener, peer_socket) = bind_peer(settings.peer_addr)?;
-        let tls = settings.tls.as_ref().map(TlsKeeper::load).transpose()?;
+        let tls = settings.tls.as_ref().map(TlsReloader::load).transpose()?;
         let (caller_addr, admin_addr) =
             (caller_listener.local_addr()?, admin_listener.local_addr()?);
         let peer_addr = peer_listener.local_addr()?;
@@ -183,7 +183,7 @@
     fn start_front(
         &mut self,
         listener: std::net::TcpListener,
-        tls: Option<Arc<TlsKeeper>>,
+        tls: Option<Arc<TlsReloader>>,
     ) -> anyhow::Result<()> {
         let tuning = &self.shared.settings.tuning;
         let runtime = tokio::runtime::Builder::new_multi_thread()
--- a/crates/entry/src/front/server.rs
+++ b/crates/entry/src/front/server.rs
@@ -20,7 +20,7 @@
 use super::answer::{CallerAnswer, Refusal, end_connection, name_request, refuse, whole};
 use super::request::{authenticate, bundle, read, request_id};
 use super::{FrontContext, model, service};
-use crate::tls::TlsKeeper;
+use crate::tls::TlsReloader;
 use bergamot_types::prelude::*;
 
 /// How long a caller may take to send the head of a request.
@@ -35,7 +35,7 @@
 pub async fn serve(
     context: Arc<FrontContext>,
     listener: TcpListener,
-    tls: Option<Arc<TlsKeeper>>,
+    tls: Option<Arc<TlsReloader>>,
     mut stop: watch::Receiver<bool>,
 ) {
     let closing = watch::Sender::new(false);
--- a/crates/entry/src/tls.rs
+++ b/crates/entry/src/tls.rs
@@ -14,13 +14,13 @@
 use crate::settings::TlsSettings;
 
 /// Holds the current TLS acceptor and reloads it when the files change.
-pub struct TlsKeeper {
+pub struct TlsReloader {
     settings: TlsSettings,
     acceptor: ArcSwap<TlsAcceptor>,
     modified_at: parking_lot::Mutex<Option<SystemTime>>,
 }
 
-impl TlsKeeper {
+impl TlsReloader {
     /// Loads the certificate and the key.
     ///
     /// # Errors
