--- a/crates/entry/src/bin/bergamot-entry.rs
+++ b/crates/entry/src/bin/bergamot-entry.rs
@@ -100,7 +100,7 @@
     let outcome = daemon.stop(|| signals.load(Ordering::Relaxed) > 1);
     Ok(match outcome {
         StopOutcome::Graceful => ExitCode::SUCCESS,
-        StopOutcome::Cut(aborted) => {
+        StopOutcome::Aborted(aborted) => {
             eprintln!("bergamot-entry: {aborted} requests were aborted");
             ExitCode::from(1)
         }
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -51,7 +51,7 @@
     /// All requests in flight completed.
     Graceful,
     /// This many requests in flight were aborted, at the deadline or because the stop was urgent.
-    Cut(i64),
+    Aborted(i64),
 }
 
 /// A running daemon.
@@ -313,7 +313,7 @@
         }
         match aborted {
             0 => StopOutcome::Graceful,
-            aborted => StopOutcome::Cut(aborted),
+            aborted => StopOutcome::Aborted(aborted),
         }
     }
 
--- a/crates/local/src/bin/bergamot-local.rs
+++ b/crates/local/src/bin/bergamot-local.rs
@@ -110,7 +110,7 @@
     }
     Ok(match fleet.stop() {
         StopOutcome::Graceful => ExitCode::SUCCESS,
-        StopOutcome::Cut(cut) => {
+        StopOutcome::Aborted(cut) => {
             eprintln!("bergamot-local: {cut} requests were cut");
             ExitCode::from(1)
         }
--- a/crates/local/src/fleet.rs
+++ b/crates/local/src/fleet.rs
@@ -318,14 +318,14 @@
             .collect();
         let mut cut = 0;
         for thread in stopping {
-            if let Ok(StopOutcome::Cut(count)) = thread.join() {
+            if let Ok(StopOutcome::Aborted(count)) = thread.join() {
                 cut += count;
             }
         }
         self.runtime.shutdown_background();
         match cut {
             0 => StopOutcome::Graceful,
-            cut => StopOutcome::Cut(cut),
+            cut => StopOutcome::Aborted(cut),
         }
     }
 }
