--- a/crates/entry/src/duty/limits.rs
+++ b/crates/entry/src/duty/limits.rs
@@ -46,7 +46,7 @@
                         lent,
                         loan,
                     };
-                    shared.routing.lock().take_lend(now, asked, &answer);
+                    shared.routing.lock().accept_loan(now, asked, &answer);
                 }
             });
         }
--- a/crates/entry/src/routing_state.rs
+++ b/crates/entry/src/routing_state.rs
@@ -344,7 +344,7 @@
 
     /// Adds a loan from a peer's reply and admits queued requests. `asked` is when the request was
     /// sent.
-    pub fn take_lend(&mut self, now: Millis, asked: Millis, reply: &LoanReply) {
+    pub fn accept_loan(&mut self, now: Millis, asked: Millis, reply: &LoanReply) {
         self.shares.accept_loan(now, asked, reply);
         self.set_quotas(now);
         self.admit_waiting(now);
