--- a/crates/entry/src/control/event.rs
+++ b/crates/entry/src/control/event.rs
@@ -100,11 +100,11 @@
     /// Send a datagram.
     Send(SocketAddr, Box<Datagram>),
     /// Query a peer for a roll newer than this number.
-    AskRoll(SocketAddr, u64),
+    QueryRoll(SocketAddr, u64),
     /// Query a peer for its roster.
-    AskRoster(SocketAddr),
+    QueryRoster(SocketAddr),
     /// Query a peer for its group records.
-    AskGroups(SocketAddr),
+    QueryGroups(SocketAddr),
     /// Query an engine for its report.
     Probe(ProbeTarget),
     /// Send an order to an engine.
--- a/crates/entry/src/control/evidence.rs
+++ b/crates/entry/src/control/evidence.rs
@@ -71,20 +71,20 @@
         let sender = record.member(&beat.from);
         let is_known = sender.is_some_and(|m| m.peer_addr == from);
         if beat.epoch > record.epoch && self.try_start_query(now, "roster") {
-            actions.push(ControlAction::AskRoster(from));
+            actions.push(ControlAction::QueryRoster(from));
         }
         if !is_known {
             return;
         }
         if datagram.roll > self.rolls.number() && self.try_start_query(now, "roll") {
-            actions.push(ControlAction::AskRoll(from, self.rolls.number()));
+            actions.push(ControlAction::QueryRoll(from, self.rolls.number()));
         }
         self.peer_rolls.insert(beat.from.clone(), datagram.roll);
         self.peer_slack
             .insert(beat.from.clone(), (now, datagram.demand.clone()));
         let has_unknown_group = self.handle_peer_evidence(now, &datagram.evidence);
         if has_unknown_group && self.try_start_query(now, "groups") {
-            actions.push(ControlAction::AskGroups(from));
+            actions.push(ControlAction::QueryGroups(from));
         }
         self.roster_event(now, RosterEvent::Heartbeat(beat.clone()), actions);
     }
--- a/crates/entry/src/control/sync.rs
+++ b/crates/entry/src/control/sync.rs
@@ -317,9 +317,9 @@
         }
         let index = (now.0 / QUERY_PERIOD.0) as usize % entry_addrs.len();
         let peer = entry_addrs[index];
-        actions.push(ControlAction::AskRoster(peer));
-        actions.push(ControlAction::AskRoll(peer, self.rolls.number()));
-        actions.push(ControlAction::AskGroups(peer));
+        actions.push(ControlAction::QueryRoster(peer));
+        actions.push(ControlAction::QueryRoll(peer, self.rolls.number()));
+        actions.push(ControlAction::QueryGroups(peer));
     }
 
     /// Records a query to a peer and returns `true`, unless one on this topic was made within
--- a/crates/entry/src/duty/control.rs
+++ b/crates/entry/src/duty/control.rs
@@ -80,15 +80,15 @@
             is_taken
         }
         ControlAction::Send(to, datagram) => shared.peer.push(PeerTask::Send(to, datagram)),
-        ControlAction::AskRoll(peer, newer_than) => {
+        ControlAction::QueryRoll(peer, newer_than) => {
             ask(shared, peer, bergamot_peer::Question::Roll { newer_than });
             true
         }
-        ControlAction::AskRoster(peer) => {
+        ControlAction::QueryRoster(peer) => {
             ask(shared, peer, bergamot_peer::Question::Roster);
             true
         }
-        ControlAction::AskGroups(peer) => {
+        ControlAction::QueryGroups(peer) => {
             ask(shared, peer, bergamot_peer::Question::Groups);
             true
         }
--- a/crates/proof/tests/control/actions.rs
+++ b/crates/proof/tests/control/actions.rs
@@ -41,22 +41,22 @@
                     self.send(Message::Event(peer, peer_incarnation, event));
                 }
             }
-            ControlAction::AskRoll(to, newer_than) => {
+            ControlAction::QueryRoll(to, newer_than) => {
                 let peer = self.daemon_at(to);
                 if !self.is_partitioned(daemon, peer) {
-                    self.send(Message::AskRoll(daemon, incarnation, peer, newer_than));
+                    self.send(Message::QueryRoll(daemon, incarnation, peer, newer_than));
                 }
             }
-            ControlAction::AskRoster(to) => {
+            ControlAction::QueryRoster(to) => {
                 let peer = self.daemon_at(to);
                 if !self.is_partitioned(daemon, peer) {
-                    self.send(Message::AskRoster(daemon, incarnation, peer));
+                    self.send(Message::QueryRoster(daemon, incarnation, peer));
                 }
             }
-            ControlAction::AskGroups(to) => {
+            ControlAction::QueryGroups(to) => {
                 let peer = self.daemon_at(to);
                 if !self.is_partitioned(daemon, peer) {
-                    self.send(Message::AskGroups(daemon, incarnation, peer));
+                    self.send(Message::QueryGroups(daemon, incarnation, peer));
                 }
             }
             ControlAction::Probe(target) => {
--- a/crates/proof/tests/control/main.rs
+++ b/crates/proof/tests/control/main.rs
@@ -56,9 +56,9 @@
     Order(usize, u64, VmId, VmOrder),
     Read(usize, u64, String, Millis),
     Swap(usize, u64, String, i64, Vec<u8>, u64),
-    AskRoll(usize, u64, usize, u64),
-    AskRoster(usize, u64, usize),
-    AskGroups(usize, u64, usize),
+    QueryRoll(usize, u64, usize, u64),
+    QueryRoster(usize, u64, usize),
+    QueryGroups(usize, u64, usize),
     Sync(usize, u64),
     ListRead(usize, u64),
     Request,
@@ -217,7 +217,7 @@
             Message::Swap(daemon, incarnation, key, expected, value, nonce) => {
                 self.swap(daemon, incarnation, &key, expected, &value, nonce)?;
             }
-            Message::AskRoll(daemon, incarnation, peer, newer_than) => {
+            Message::QueryRoll(daemon, incarnation, peer, newer_than) => {
                 let active_roll = self.daemons[peer].state.active_bundle().cloned();
                 if let Some(active_roll) =
                     active_roll.filter(|active_roll| active_roll.record.number > newer_than)
@@ -226,11 +226,11 @@
                     self.reply(daemon, incarnation, ControlEvent::PeerRoll(roll));
                 }
             }
-            Message::AskRoster(daemon, incarnation, peer) => {
+            Message::QueryRoster(daemon, incarnation, peer) => {
                 let record = self.daemons[peer].state.roster().record().clone();
                 self.reply(daemon, incarnation, ControlEvent::PeerRoster(record));
             }
-            Message::AskGroups(daemon, incarnation, peer) => {
+            Message::QueryGroups(daemon, incarnation, peer) => {
                 let entries: Vec<GroupsEntry> = self.daemons[peer].state.group_entries();
                 self.reply(daemon, incarnation, ControlEvent::PeerGroups(entries));
             }
@@ -296,9 +296,9 @@
         | Message::Sync(daemon, _)
         | Message::ListRead(daemon, _)
         | Message::Probed(daemon, ..) => Some(*daemon),
-        Message::AskRoll(_, _, peer, _)
-        | Message::AskRoster(_, _, peer)
-        | Message::AskGroups(_, _, peer) => Some(*peer),
+        Message::QueryRoll(_, _, peer, _)
+        | Message::QueryRoster(_, _, peer)
+        | Message::QueryGroups(_, _, peer) => Some(*peer),
         _ => None,
     }
 }
