--- a/crates/entry/src/control/lead.rs
+++ b/crates/entry/src/control/lead.rs
@@ -43,7 +43,7 @@
             .collect();
         let me = self.me().clone();
         let is_member = self.roster.is_member();
-        let home: Vec<FabricDomain> = self
+        let home_fabrics: Vec<FabricDomain> = self
             .vms
             .values()
             .filter(|fact| fact.failure_domain == me.failure_domain)
@@ -51,10 +51,10 @@
             .collect();
         for (fabric, placement) in &mut self.placements {
             let key = hash_bytes(fabric.as_str().as_bytes());
-            let is_home = home.contains(fabric);
-            let first = rendezvous_rank(key, &trusted_members).into_iter().next();
+            let is_home = home_fabrics.contains(fabric);
+            let coordinator = rendezvous_rank(key, &trusted_members).into_iter().next();
             let is_coordinator =
-                is_home && is_member && first.is_some_and(|f| f == me.entry.as_str());
+                is_home && is_member && coordinator.is_some_and(|entry| entry == me.entry.as_str());
             placement.handle(now, PlacementEvent::Lead(is_coordinator));
         }
     }
--- a/crates/entry/src/control/route.rs
+++ b/crates/entry/src/control/route.rs
@@ -19,14 +19,14 @@
 
 impl ControlState {
     pub(super) fn publish(&mut self, now: Millis, actions: &mut Vec<ControlAction>) {
-        self.view_version += 1;
-        if self.roster_view.settled != self.roster.record().settled {
-            self.roster_view = Arc::new(self.roster.record().clone());
+        self.published_version += 1;
+        if self.published_roster.settled != self.roster.record().settled {
+            self.published_roster = Arc::new(self.roster.record().clone());
         }
         let mut view = RouteView {
-            version: self.view_version,
+            version: self.published_version,
             active_bundle: self.active_bundle().cloned(),
-            roster: Arc::clone(&self.roster_view),
+            roster: Arc::clone(&self.published_roster),
             trusted: self
                 .roster
                 .record()
--- a/crates/entry/src/control/state.rs
+++ b/crates/entry/src/control/state.rs
@@ -46,7 +46,7 @@
     pub(super) roster: RosterState,
     pub(super) roster_revision: i64,
     pub(super) roster_swap: Option<RosterSwap>,
-    pub(super) roster_read: bool,
+    pub(super) is_roster_known: bool,
     pub(super) rolls: RollAdopter,
     pub(super) offered_roll: Option<RollRecord>,
     pub(super) requested_bundle: Option<(BundleDigest, Millis)>,
@@ -63,7 +63,7 @@
     pub(super) peer_rolls: IndexMap<EntryId, u64>,
     pub(super) forming_since: IndexMap<GroupId, Millis>,
     pub(super) roll_stop_reason: Option<String>,
-    pub(super) view_version: u64,
+    pub(super) published_version: u64,
     pub(super) next_publication: Millis,
     pub(super) next_distribution: Millis,
     pub(super) next_coordinator_choice: Millis,
@@ -71,7 +71,7 @@
     pub(super) next_placement: Millis,
     /// Groups that this VM probes.
     pub(super) probed_groups: IndexSet<GroupId>,
-    pub(super) roster_view: Arc<bergamot_roster::RosterRecord>,
+    pub(super) published_roster: Arc<bergamot_roster::RosterRecord>,
 }
 
 impl ControlState {
@@ -83,7 +83,7 @@
             options,
             roster_revision: 0,
             roster_swap: None,
-            roster_read: false,
+            is_roster_known: false,
             offered_roll: None,
             requested_bundle: None,
             queried_at: IndexMap::new(),
@@ -99,14 +99,14 @@
             peer_rolls: IndexMap::new(),
             forming_since: IndexMap::new(),
             roll_stop_reason: None,
-            view_version: 0,
+            published_version: 0,
             next_publication: Millis::ZERO,
             next_distribution: Millis::ZERO,
             next_coordinator_choice: Millis::ZERO,
             next_probe_check: Millis::ZERO,
             next_placement: Millis::ZERO,
             probed_groups: IndexSet::new(),
-            roster_view: Arc::default(),
+            published_roster: Arc::default(),
         }
     }
 
@@ -236,7 +236,7 @@
                 }
                 RosterAction::EpochChanged(epoch) => {
                     let record = self.roster.record().clone();
-                    self.roster_view = Arc::new(record.clone());
+                    self.published_roster = Arc::new(record.clone());
                     self.next_coordinator_choice = Millis::ZERO;
                     let members = record.members.len();
                     actions.push(log_line(format!(
--- a/crates/entry/src/control/sync.rs
+++ b/crates/entry/src/control/sync.rs
@@ -121,7 +121,7 @@
         entry: Option<KvEntry>,
         actions: &mut Vec<ControlAction>,
     ) {
-        self.roster_read = true;
+        self.is_roster_known = true;
         let Some(entry) = entry else {
             return;
         };
@@ -152,7 +152,7 @@
             .roster_swap
             .as_ref()
             .is_some_and(|swap| now.since(swap.sent_at) < SWAP_TIMEOUT);
-        if !self.roster_read || is_swap_pending {
+        if !self.is_roster_known || is_swap_pending {
             return;
         }
         let me = self.roster.own_member();
@@ -206,7 +206,7 @@
             }
             // The stored roster is unknown until the next read, so nothing is proposed before it.
             SwapOutcome::Lost | SwapOutcome::Unknown => {
-                self.roster_read = false;
+                self.is_roster_known = false;
                 actions.push(ControlAction::Read(ROSTER_KEY.to_owned()));
             }
             SwapOutcome::NotSent => {}
