--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -12,7 +12,7 @@
 use super::answer::Refusal;
 use super::probe::probe_group;
 use super::server::InFlight;
-use crate::routing_state::{Place, PoolKind, RouteName};
+use crate::routing_state::{PoolKind, RouteName, SlotReply};
 
 /// A request that was admitted and holds a concurrency slot.
 pub struct CallContext {
@@ -65,7 +65,7 @@
         let now = shared.clock.now();
         let held_for = now.since(self.acquired_at);
         let mut routing = shared.routing.lock();
-        routing.release_place(now, self.pool, &self.account, held_for);
+        routing.release_slot(now, self.pool, &self.account, held_for);
         let gauge = &shared.metrics.in_flight;
         gauge.with_label_values(&[self.pool.as_str()]).dec();
     }
@@ -85,7 +85,7 @@
         if !self.is_decided {
             let shared = &self.front.shared;
             let mut routing = shared.routing.lock();
-            routing.cancel_place(self.pool, self.ticket);
+            routing.cancel_slot_request(self.pool, self.ticket);
         }
     }
 }
@@ -110,11 +110,11 @@
             shared
                 .routing
                 .lock()
-                .ask_place(now, pool, &spec.account, spec.priority, spec.deadline);
+                .request_slot(now, pool, &spec.account, spec.priority, spec.deadline);
         match admission {
-            Place::Admitted => {}
-            Place::Refused(kind, retry_after) => return Err(Refusal { kind, retry_after }),
-            Place::Waiting(ticket, decision) => {
+            SlotReply::Admitted => {}
+            SlotReply::Refused(kind, retry_after) => return Err(Refusal { kind, retry_after }),
+            SlotReply::Waiting(ticket, decision) => {
                 let mut guard = QueueGuard {
                     front,
                     pool,
--- a/crates/entry/src/front/server.rs
+++ b/crates/entry/src/front/server.rs
@@ -22,7 +22,7 @@
 };
 use super::request::{authenticate, bundle, read, request_id};
 use super::{FrontContext, model, service};
-use crate::tls::TlsKeeper;
+use crate::tls::TlsReloader;
 use bergamot_types::prelude::*;
 
 /// Timeout for a caller to send the head of a request, and for the TLS handshake.
@@ -38,7 +38,7 @@
 pub async fn serve(
     context: Arc<FrontContext>,
     listener: TcpListener,
-    tls: Option<Arc<TlsKeeper>>,
+    tls: Option<Arc<TlsReloader>>,
     mut stop: watch::Receiver<bool>,
 ) {
     let closing = watch::Sender::new(false);
