--- a/crates/entry/src/duty/admin.rs
+++ b/crates/entry/src/duty/admin.rs
@@ -1,4 +1,4 @@
-//! The admin duty: health, metrics and the dump.
+//! The admin duty: serves health checks, metrics and a dump of the state over HTTP.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -16,10 +16,10 @@
 
 use super::shared::{ClaimsFront, ControlInbox, SharedState};
 
-/// How long another duty has to give its part of the dump.
+/// Limit on the wait for another duty's part of the dump.
 const DUMP_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Serves until the task is dropped.
+/// Serves requests until the task is dropped.
 pub async fn run(shared: Arc<SharedState>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -29,7 +29,7 @@
         tokio::spawn(async move {
             let service = service_fn(move |request| {
                 let shared = Arc::clone(&shared);
-                async move { answer(&shared, &request).await }
+                async move { respond(&shared, &request).await }
             });
             let builder = Builder::new(TokioExecutor::new());
             let _ = builder
@@ -39,11 +39,11 @@
     }
 }
 
-async fn answer(
+async fn respond(
     shared: &Arc<SharedState>,
     request: &Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, hyper::Error> {
-    let (status, kind, body) = match request.uri().path() {
+    let (status, content_type, body) = match request.uri().path() {
         "/healthz" => (StatusCode::OK, "text/plain", "ok\n".to_owned()),
         "/readyz" => match not_ready(shared) {
             None => (StatusCode::OK, "text/plain", "ready\n".to_owned()),
@@ -66,17 +66,17 @@
         _ => (
             StatusCode::NOT_FOUND,
             "text/plain",
-            "/healthz, /readyz, /metrics and /dump are here\n".to_owned(),
+            "unknown path; expected /healthz, /readyz, /metrics or /dump\n".to_owned(),
         ),
     };
     let mut response = Response::new(Full::new(Bytes::from(body)));
     *response.status_mut() = status;
-    let kind = hyper::header::HeaderValue::from_static(kind);
-    response.headers_mut().insert("content-type", kind);
+    let content_type = hyper::header::HeaderValue::from_static(content_type);
+    response.headers_mut().insert("content-type", content_type);
     Ok(response)
 }
 
-/// Why this VM should get no callers; none if it should.
+/// Returns why this entry VM should not receive callers' requests, or `None` if it is ready.
 pub fn not_ready(shared: &SharedState) -> Option<&'static str> {
     if shared.is_stopping() {
         return Some("stopping");
@@ -91,13 +91,13 @@
 }
 
 async fn dump(shared: &Arc<SharedState>) -> serde_json::Value {
-    let (control, control_reply) = oneshot::channel();
-    shared.control.push(ControlInbox::Dump(control));
-    let (claims, claims_reply) = oneshot::channel();
-    shared.claims.push(ClaimsFront::Dump(claims));
-    let part = |reply: oneshot::Receiver<serde_json::Value>| async {
-        let reply = tokio::time::timeout(DUMP_TIMEOUT, reply).await;
-        reply.ok().and_then(Result::ok)
+    let (control_sender, control_receiver) = oneshot::channel();
+    shared.control.push(ControlInbox::Dump(control_sender));
+    let (claims_sender, claims_receiver) = oneshot::channel();
+    shared.claims.push(ClaimsFront::Dump(claims_sender));
+    let receive_part = |receiver: oneshot::Receiver<serde_json::Value>| async {
+        let dump = tokio::time::timeout(DUMP_TIMEOUT, receiver).await;
+        dump.ok().and_then(Result::ok)
     };
     let now = shared.clock.now();
     serde_json::json!({
@@ -105,8 +105,8 @@
         "incarnation": shared.incarnation,
         "is_stopping": shared.is_stopping(),
         "in_flight": shared.in_flight.load(Ordering::Relaxed),
-        "control": part(control_reply).await,
-        "claims": part(claims_reply).await,
+        "control": receive_part(control_receiver).await,
+        "claims": receive_part(claims_receiver).await,
         "routing": shared.routing.lock().dump(now),
         "rings": [
             shared.control.dump(),
--- a/crates/entry/src/duty/claims.rs
+++ b/crates/entry/src/duty/claims.rs
@@ -1,4 +1,5 @@
-//! The claims duty: feeds [`ClaimState`], asks owners for verdicts, and carries copies.
+//! The claims duty: feeds events to [`ClaimState`], requests verdicts from the owners of claims, and
+//! exchanges replicas of claim records with peers.
 
 mod owner;
 
@@ -15,25 +16,25 @@
 use indexmap::IndexMap;
 use tokio::sync::oneshot;
 
-use self::owner::{ask_owner, tell_owner};
+use self::owner::{claim_from_owner, notify_owner};
 use super::shared::{ClaimNote, ClaimsFront, SharedState};
 use crate::control::ControlEvent;
 use crate::ring::RingReceiver;
 
-/// Time between two ticks.
-const TICK: Duration = Duration::from_millis(50);
-/// How often the owner is told how a request ended.
-const FINISH_TRIES: u32 = 5;
-/// Time between two of those.
-const FINISH_RETRY: Duration = Duration::from_millis(300);
+/// Interval between ticks of the claim state.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Attempts to deliver a request's outcome to the owner of its claim.
+const FINISH_ATTEMPTS: u32 = 5;
+/// Wait between delivery attempts of an outcome.
+const FINISH_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Who waits for an answer of the claims.
+/// The recipient of an answer that the claim state has not produced yet.
 enum Waiting {
     Local(u64, oneshot::Sender<(u64, Verdict)>),
     Peer(oneshot::Sender<Answer>),
 }
 
-/// How a request ended, kept to be told again to a new owner.
+/// A request that ended, kept so that its outcome can be resent to a new owner of the claim.
 struct EndedRequest {
     at: Millis,
     key: ClaimKey,
@@ -41,23 +42,24 @@
     outcome: FinishOutcome,
 }
 
-/// Ends kept.
+/// Bound on the ended requests that are kept.
 const MAX_ENDED: usize = 4_096;
-/// How long an end is kept.
-const ENDED_KEEP: Millis = Millis(60_000);
-/// When ends are told again after a change of the roster: the new owners need time to collect.
-const RETELL_AFTER: [Millis; 3] = [Millis(1_000), Millis(3_000), Millis(8_000)];
+/// How long an ended request is kept.
+const ENDED_TTL: Millis = Millis(60_000);
+/// Delays after a roster change at which the outcomes are resent. New owners need time to collect the
+/// records of their slots.
+const OUTCOME_RESEND_DELAYS: [Millis; 3] = [Millis(1_000), Millis(3_000), Millis(8_000)];
 
 struct ClaimsDuty {
     shared: Arc<SharedState>,
     state: ClaimState,
     waiting: IndexMap<u64, Waiting>,
-    next_ask: u64,
+    next_call_id: u64,
     ended: VecDeque<EndedRequest>,
-    retell_at: Vec<Millis>,
+    resend_at: Vec<Millis>,
 }
 
-/// Runs until the ring closes.
+/// Runs the duty until the inbox is closed.
 pub async fn run(
     shared: Arc<SharedState>,
     mut inbox: RingReceiver<ClaimsFront>,
@@ -67,17 +69,17 @@
         shared,
         state,
         waiting: IndexMap::new(),
-        next_ask: 1,
+        next_call_id: 1,
         ended: VecDeque::new(),
-        retell_at: Vec::new(),
+        resend_at: Vec::new(),
     };
-    let mut ticks = tokio::time::interval(TICK);
-    ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut interval = tokio::time::interval(TICK_INTERVAL);
+    interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
-            _ = ticks.tick() => duty.tick(),
+            _ = interval.tick() => duty.tick(),
             received = inbox.recv() => match received {
-                Some(item) => duty.take(item),
+                Some(item) => duty.handle_item(item),
                 None => return,
             },
         }
@@ -93,63 +95,63 @@
         }
     }
 
-    fn take(&mut self, item: ClaimsFront) {
+    fn handle_item(&mut self, item: ClaimsFront) {
         match item {
             ClaimsFront::Ask {
                 key,
                 body,
                 grant,
                 reply,
-            } => self.ask(key, body, grant, reply),
+            } => self.request_claim(key, body, grant, reply),
             ClaimsFront::Finish {
                 key,
                 attempt,
                 outcome,
                 note,
             } => self.finish(key, attempt, outcome, note),
-            ClaimsFront::Peer(question, reply) => self.take_question(question, reply),
+            ClaimsFront::Peer(question, reply) => self.handle_question(question, reply),
             ClaimsFront::Event(event) => {
                 if matches!(event, ClaimEvent::Roster(_)) {
                     let now = self.shared.clock.now();
-                    self.retell_at = RETELL_AFTER.map(|after| now + after).to_vec();
+                    self.resend_at = OUTCOME_RESEND_DELAYS.map(|delay| now + delay).to_vec();
                 }
                 self.feed(event);
             }
             ClaimsFront::Dump(reply) => {
-                let (owned, unready) = self.state.slot_counts();
+                let (owned, not_ready) = self.state.slot_counts();
                 let _ = reply.send(serde_json::json!({
                     "epoch": self.state.epoch(),
                     "claims": self.state.len(),
                     "slots_owned": owned,
-                    "slots_not_ready": unready,
+                    "slots_not_ready": not_ready,
                 }));
             }
         }
     }
 
-    fn wait_for(&mut self, waiting: Waiting) -> u64 {
-        let ask = self.next_ask;
-        self.next_ask += 1;
-        self.waiting.insert(ask, waiting);
-        ask
+    fn add_waiting(&mut self, waiting: Waiting) -> u64 {
+        let call_id = self.next_call_id;
+        self.next_call_id += 1;
+        self.waiting.insert(call_id, waiting);
+        call_id
     }
 
-    fn ask(
+    fn request_claim(
         &mut self,
         key: ClaimKey,
         fingerprint: u64,
         grant: Millis,
         reply: oneshot::Sender<(u64, Verdict)>,
     ) {
-        let attempt = self.next_ask;
-        self.next_ask += 1;
+        let attempt = self.next_call_id;
+        self.next_call_id += 1;
         let Some((owner, epoch)) = self.state.owner(key) else {
             let _ = reply.send((attempt, Verdict::Unavailable));
             return;
         };
         let owner = owner.clone();
         let claimant = self.claimant(attempt);
-        let mut question = ClaimRequest {
+        let mut request = ClaimRequest {
             call_id: 0,
             key,
             fingerprint,
@@ -158,13 +160,13 @@
             grant,
         };
         if owner == self.shared.settings.entry {
-            question.call_id = self.wait_for(Waiting::Local(attempt, reply));
-            self.feed(ClaimEvent::Request(question));
+            request.call_id = self.add_waiting(Waiting::Local(attempt, reply));
+            self.feed(ClaimEvent::Request(request));
             return;
         }
         let shared = Arc::clone(&self.shared);
         tokio::spawn(async move {
-            let verdict = ask_owner(&shared, &owner, question).await;
+            let verdict = claim_from_owner(&shared, &owner, request).await;
             let _ = reply.send((attempt, verdict));
         });
     }
@@ -175,39 +177,39 @@
         while self
             .ended
             .front()
-            .is_some_and(|ended| now.since(ended.at) > ENDED_KEEP || self.ended.len() > MAX_ENDED)
+            .is_some_and(|ended| now.since(ended.at) > ENDED_TTL || self.ended.len() > MAX_ENDED)
         {
             self.ended.pop_front();
         }
-        let due = self.retell_at.iter().position(|at| *at <= now);
-        let Some(index) = due else {
+        let due_index = self.resend_at.iter().position(|at| *at <= now);
+        let Some(index) = due_index else {
             return;
         };
-        self.retell_at.swap_remove(index);
-        let again: Vec<_> = self
+        self.resend_at.swap_remove(index);
+        let outcomes: Vec<_> = self
             .ended
             .iter()
             .map(|ended| (ended.key, ended.claimant.clone(), ended.outcome.clone()))
             .collect();
-        for (key, claimant, outcome) in again {
+        for (key, claimant, outcome) in outcomes {
             let note = self.shared.claim_note();
-            self.tell(key, claimant, outcome, note);
+            self.send(key, claimant, outcome, note);
         }
     }
 
     fn finish(&mut self, key: ClaimKey, attempt: u64, outcome: FinishOutcome, note: ClaimNote) {
         let claimant = self.claimant(attempt);
-        // The owner may be lost before it has passed this on; its successor is told again.
+        // The owner may be lost before it has replicated the outcome, so it is kept for the successor.
         self.ended.push_back(EndedRequest {
             at: self.shared.clock.now(),
             key,
             claimant: claimant.clone(),
             outcome: outcome.clone(),
         });
-        self.tell(key, claimant, outcome, note);
+        self.send(key, claimant, outcome, note);
     }
 
-    fn tell(&mut self, key: ClaimKey, claimant: Claimant, outcome: FinishOutcome, note: ClaimNote) {
+    fn send(&mut self, key: ClaimKey, claimant: Claimant, outcome: FinishOutcome, note: ClaimNote) {
         let Some((owner, _)) = self.state.owner(key) else {
             return;
         };
@@ -227,22 +229,19 @@
                 claimant,
                 outcome,
             };
-            tell_owner(&shared, &owner, question).await;
+            notify_owner(&shared, &owner, question).await;
             drop(note);
         });
     }
 
-    fn take_question(&mut self, question: Question, reply: oneshot::Sender<Answer>) {
+    fn handle_question(&mut self, question: Question, reply: oneshot::Sender<Answer>) {
         match question {
             Question::Claim(_) if self.shared.are_claims_closed.load(Ordering::SeqCst) => {
                 let _ = reply.send(Answer::Claim(Verdict::Unavailable));
             }
-            Question::Claim(question) => {
-                let call_id = self.wait_for(Waiting::Peer(reply));
-                self.feed(ClaimEvent::Request(ClaimRequest {
-                    call_id,
-                    ..question
-                }));
+            Question::Claim(request) => {
+                let call_id = self.add_waiting(Waiting::Peer(reply));
+                self.feed(ClaimEvent::Request(ClaimRequest { call_id, ..request }));
             }
             Question::Finish {
                 key,
@@ -261,7 +260,7 @@
                 owner,
                 change,
             } => {
-                let call_id = self.wait_for(Waiting::Peer(reply));
+                let call_id = self.add_waiting(Waiting::Peer(reply));
                 self.feed(ClaimEvent::Copy {
                     call_id,
                     epoch,
@@ -270,7 +269,7 @@
                 });
             }
             Question::Replica { epoch, records } => {
-                let call_id = self.wait_for(Waiting::Peer(reply));
+                let call_id = self.add_waiting(Waiting::Peer(reply));
                 self.feed(ClaimEvent::Replica {
                     call_id,
                     epoch,
@@ -278,7 +277,7 @@
                 });
             }
             Question::Collect { epoch, slots } => {
-                let call_id = self.wait_for(Waiting::Peer(reply));
+                let call_id = self.add_waiting(Waiting::Peer(reply));
                 self.feed(ClaimEvent::Collect {
                     call_id,
                     epoch,
@@ -294,17 +293,17 @@
     fn feed(&mut self, event: ClaimEvent) {
         let now = self.shared.clock.now();
         for action in self.state.handle(now, event) {
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
-    fn answer(&mut self, ask: u64, answer: Answer) {
-        if let Some(Waiting::Peer(reply)) = self.waiting.swap_remove(&ask) {
+    fn answer(&mut self, call_id: u64, answer: Answer) {
+        if let Some(Waiting::Peer(reply)) = self.waiting.swap_remove(&call_id) {
             let _ = reply.send(answer);
         }
     }
 
-    fn carry_out(&mut self, action: ClaimAction) {
+    fn execute(&mut self, action: ClaimAction) {
         match action {
             ClaimAction::Verdict { call_id, verdict } => match self.waiting.swap_remove(&call_id) {
                 Some(Waiting::Local(attempt, reply)) => {
@@ -381,10 +380,10 @@
         }
     }
 
-    /// Asks another holder; what its answer means comes back as an event.
-    fn ask_holder<Meaning>(&self, to: EntryId, question: Question, meaning: Meaning)
+    /// Sends a question to another holder. `into_event` turns its answer into an event for the claims.
+    fn ask_holder<IntoEvent>(&self, to: EntryId, question: Question, into_event: IntoEvent)
     where
-        Meaning: FnOnce(EntryId, Option<Answer>) -> Option<ClaimEvent> + Send + 'static,
+        IntoEvent: FnOnce(EntryId, Option<Answer>) -> Option<ClaimEvent> + Send + 'static,
     {
         let shared = Arc::clone(&self.shared);
         tokio::spawn(async move {
@@ -392,7 +391,7 @@
                 Some(addr) => shared.ask_peer(addr, question).await,
                 None => None,
             };
-            if let Some(event) = meaning(to, answer) {
+            if let Some(event) = into_event(to, answer) {
                 shared.claims.push(ClaimsFront::Event(event));
             }
         });
--- a/crates/entry/src/duty/claims/owner.rs
+++ b/crates/entry/src/duty/claims/owner.rs
@@ -1,4 +1,4 @@
-//! Questions to the owner of a claim.
+//! Calls to the entry VM that owns a claim.
 
 use std::sync::Arc;
 
@@ -6,23 +6,24 @@
 use bergamot_peer::{Answer, Question};
 use bergamot_types::prelude::*;
 
-use super::{FINISH_RETRY, FINISH_TRIES};
+use super::{FINISH_ATTEMPTS, FINISH_RETRY_DELAY};
 use crate::duty::shared::SharedState;
 
-pub(super) async fn ask_owner(
+pub(super) async fn claim_from_owner(
     shared: &Arc<SharedState>,
     owner: &EntryId,
-    question: ClaimRequest,
+    request: ClaimRequest,
 ) -> Verdict {
     let Some(addr) = shared.peer_addr(owner) else {
         return Verdict::Unavailable;
     };
-    let (key, claimant) = (question.key, question.claimant.clone());
-    match shared.ask_peer(addr, Question::Claim(question)).await {
+    let (key, claimant) = (request.key, request.claimant.clone());
+    match shared.ask_peer(addr, Question::Claim(request)).await {
         Some(Answer::Claim(verdict)) => verdict,
         _ => {
-            // The claim may have been granted all the same. It will not be used: say so.
-            let undo = Question::Finish {
+            // The owner may have granted the claim although its answer was lost. The request does not run,
+            // so the grant is given back.
+            let release = Question::Finish {
                 key,
                 claimant,
                 outcome: FinishOutcome::NotRun,
@@ -30,21 +31,21 @@
             tokio::spawn({
                 let shared = Arc::clone(shared);
                 let owner = owner.clone();
-                async move { tell_owner(&shared, &owner, undo).await }
+                async move { notify_owner(&shared, &owner, release).await }
             });
             Verdict::Unavailable
         }
     }
 }
 
-pub(super) async fn tell_owner(shared: &Arc<SharedState>, owner: &EntryId, question: Question) {
-    for _ in 0..FINISH_TRIES {
+pub(super) async fn notify_owner(shared: &Arc<SharedState>, owner: &EntryId, question: Question) {
+    for _ in 0..FINISH_ATTEMPTS {
         if let Some(addr) = shared.peer_addr(owner)
             && shared.ask_peer(addr, question.clone()).await.is_some()
         {
             return;
         }
-        tokio::time::sleep(FINISH_RETRY).await;
+        tokio::time::sleep(FINISH_RETRY_DELAY).await;
     }
     log::warn!("event=claim_outcome_not_told owner={owner}");
 }
--- a/crates/entry/src/duty/control.rs
+++ b/crates/entry/src/duty/control.rs
@@ -1,4 +1,4 @@
-//! The control duty: feeds [`ControlState`] and carries its actions out.
+//! The control duty: feeds events to [`ControlState`] and executes its actions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,20 +10,20 @@
 use crate::ring::RingReceiver;
 use crate::route_view::RouteView;
 
-/// Time between two ticks.
-const TICK: Duration = Duration::from_millis(25);
+/// Interval between ticks of the control state.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Runs until the ring closes.
+/// Runs the duty until the inbox is closed.
 pub async fn run(
     shared: Arc<SharedState>,
     mut inbox: RingReceiver<ControlInbox>,
     mut state: ControlState,
 ) {
-    let mut ticks = tokio::time::interval(TICK);
-    ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut interval = tokio::time::interval(TICK_INTERVAL);
+    interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         let event = tokio::select! {
-            _ = ticks.tick() => ControlEvent::Tick,
+            _ = interval.tick() => ControlEvent::Tick,
             received = inbox.recv() => match received {
                 None => return,
                 Some(ControlInbox::Event(event)) => event,
@@ -39,7 +39,7 @@
         };
         let now = shared.clock.now();
         for action in state.handle(now, event) {
-            carry_out(&shared, action);
+            execute(&shared, action);
         }
         set_gauges(&shared, &state);
     }
@@ -54,8 +54,8 @@
     metrics.set_state("roster_members", roster.members.len() as i64);
 }
 
-fn carry_out(shared: &Arc<SharedState>, action: ControlAction) {
-    let is_taken = match action {
+fn execute(shared: &Arc<SharedState>, action: ControlAction) {
+    let is_queued = match action {
         ControlAction::Read(key) => shared.platform.push(PlatformTask::Read(key)),
         ControlAction::Swap {
             key,
@@ -69,15 +69,15 @@
                 value,
                 nonce,
             };
-            let is_taken = shared.platform.push(task);
-            if !is_taken {
+            let is_queued = shared.platform.push(task);
+            if !is_queued {
                 shared.tell_control(ControlEvent::Swapped {
                     key,
                     nonce,
                     outcome: bergamot_placement::SwapOutcome::NotSent,
                 });
             }
-            is_taken
+            is_queued
         }
         ControlAction::Send(to, datagram) => shared.peer.push(PeerTask::Send(to, datagram)),
         ControlAction::AskRoll(peer, newer_than) => {
@@ -101,7 +101,7 @@
             shared.claims.push(ClaimsFront::Event(event))
         }
         ControlAction::Publish(view) => {
-            take_view(shared, view);
+            publish_view(shared, view);
             true
         }
         ControlAction::Adopted(number, _) => {
@@ -113,13 +113,13 @@
             true
         }
     };
-    if !is_taken {
+    if !is_queued {
         let dropped = &shared.metrics.dropped;
         dropped.with_label_values(&["duty_ring_full"]).inc();
     }
 }
 
-fn take_view(shared: &Arc<SharedState>, view: Arc<RouteView>) {
+fn publish_view(shared: &Arc<SharedState>, view: Arc<RouteView>) {
     let now = shared.clock.now();
     let groups = view.groups.len() as i64;
     shared.metrics.set_state("routable_groups", groups);
@@ -127,7 +127,7 @@
     shared.routing.lock().take_view(now, view);
 }
 
-/// Asks a peer; its answer comes back as an event.
+/// Sends a question to a peer. Its answer, if any, is fed back as an event.
 fn ask(shared: &Arc<SharedState>, peer: std::net::SocketAddr, question: bergamot_peer::Question) {
     let shared = Arc::clone(shared);
     tokio::spawn(async move {
--- a/crates/entry/src/duty/limits.rs
+++ b/crates/entry/src/duty/limits.rs
@@ -1,4 +1,5 @@
-//! The limits duty: samples demand and borrows from peers.
+//! The limits duty: samples the demand of client accounts and borrows shares of their limits from
+//! peers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,44 +10,44 @@
 use super::shared::SharedState;
 use crate::control::ControlEvent;
 
-/// Time between two ticks of routing.
-const ROUTING_TICK: Duration = Duration::from_millis(50);
+/// Interval between ticks of the routing state.
+const ROUTING_TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs until it is dropped.
+/// Runs the duty until the task is dropped.
 pub async fn run(shared: Arc<SharedState>) {
-    let mut ticks = tokio::time::interval(ROUTING_TICK);
-    ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut interval = tokio::time::interval(ROUTING_TICK_INTERVAL);
+    interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
-        ticks.tick().await;
+        interval.tick().await;
         let now = shared.clock.now();
-        let (questions, slack) = {
+        let (loan_requests, slack) = {
             let mut routing = shared.routing.lock();
             (routing.tick(now), routing.slack(now))
         };
         shared.tell_control(ControlEvent::Slack(slack));
-        for (lender, question) in questions {
+        for (lender, loan_request) in loan_requests {
             let Some(addr) = shared.peer_addr(&lender) else {
                 continue;
             };
             let shared = Arc::clone(&shared);
             tokio::spawn(async move {
-                let (account, serial) = (question.account.clone(), question.serial);
+                let (account, serial) = (loan_request.account.clone(), loan_request.serial);
                 let question = Question::Borrow {
-                    account: question.account,
-                    wanted: question.wanted,
-                    epoch: question.epoch,
-                    roll: question.roll,
+                    account: loan_request.account,
+                    wanted: loan_request.wanted,
+                    epoch: loan_request.epoch,
+                    roll: loan_request.roll,
                 };
-                let asked = shared.clock.now();
+                let asked_at = shared.clock.now();
                 if let Some(Answer::Lent { lent, loan }) = shared.ask_peer(addr, question).await {
                     let now = shared.clock.now();
-                    let answer = LoanReply {
+                    let loan_reply = LoanReply {
                         account,
                         serial,
                         lent,
                         loan,
                     };
-                    shared.routing.lock().take_lend(now, asked, &answer);
+                    shared.routing.lock().take_lend(now, asked_at, &loan_reply);
                 }
             });
         }
--- a/crates/entry/src/duty/mod.rs
+++ b/crates/entry/src/duty/mod.rs
@@ -1,4 +1,4 @@
-//! The duties, each a thread of its own.
+//! The duties of the daemon. Each runs on its own thread.
 
 pub mod admin;
 pub mod claims;
--- a/crates/entry/src/duty/peer.rs
+++ b/crates/entry/src/duty/peer.rs
@@ -1,4 +1,4 @@
-//! The peer duty: datagrams, questions to peers, and answers to theirs.
+//! The peer duty: exchanges datagrams with peers, sends them questions and answers theirs.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,17 +18,17 @@
 use crate::control::ControlEvent;
 use crate::ring::RingReceiver;
 
-/// Idle connections kept to each peer.
-const POOLED: usize = 8;
-/// The largest datagram that is read, in bytes.
-const READ_BYTES: usize = 2_048;
-/// How long an idle peer's connection is kept.
-const IDLE: Duration = Duration::from_secs(60);
+/// Bound on the idle connections in the pool per peer.
+const MAX_IDLE_PER_PEER: usize = 8;
+/// Size of the receive buffer; longer datagrams are truncated.
+const RECEIVE_BUFFER_BYTES: usize = 2_048;
+/// Closes an accepted connection on which no question arrives for this long.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Idle connections by peer.
+/// Idle outgoing connections by peer address.
 type Pool = Arc<Mutex<IndexMap<SocketAddr, Vec<TcpStream>>>>;
 
-/// Runs until the ring closes.
+/// Runs the duty until the task ring is closed.
 pub async fn run(
     shared: Arc<SharedState>,
     mut tasks: RingReceiver<PeerTask>,
@@ -73,10 +73,10 @@
             return;
         };
         if bytes.len() > MAX_DATAGRAM_BYTES {
-            // The news that matters least goes first.
-            let keep = datagram.evidence.len() * 3 / 4;
-            let can_shrink = keep < datagram.evidence.len();
-            datagram.evidence.truncate(keep);
+            // Drops a quarter of the evidence, the least important part of a datagram.
+            let kept_len = datagram.evidence.len() * 3 / 4;
+            let can_shrink = kept_len < datagram.evidence.len();
+            datagram.evidence.truncate(kept_len);
             if can_shrink {
                 continue;
             }
@@ -93,10 +93,10 @@
 }
 
 async fn receive_loop(shared: Arc<SharedState>, socket: Arc<UdpSocket>) {
-    let mut buffer = vec![0; READ_BYTES];
+    let mut buffer = vec![0; RECEIVE_BUFFER_BYTES];
     loop {
         let Ok((size, from)) = socket.recv_from(&mut buffer).await else {
-            // A send to a peer that is down can fail the next read; that says nothing.
+            // A send to a peer that is down can make the next receive fail. The socket stays usable.
             continue;
         };
         count_bytes(&shared, "in", size);
@@ -138,14 +138,14 @@
     match tokio::time::timeout(timeout, exchange).await {
         Ok(Ok((stream, answer))) => {
             let mut pool = pool.lock();
-            let idle = pool.entry(to).or_default();
-            if idle.len() < POOLED {
-                idle.push(stream);
+            let idle_streams = pool.entry(to).or_default();
+            if idle_streams.len() < MAX_IDLE_PER_PEER {
+                idle_streams.push(stream);
             }
             Some(answer)
         }
         Ok(Err(error)) => {
-            // The other connections to this peer are likely as dead as this one was.
+            // The pooled connections to this peer have probably failed too, so they are dropped.
             pool.lock().swap_remove(&to);
             log::debug!("event=peer_question_failed to={to} reason={error:?}");
             None
@@ -162,19 +162,19 @@
         let _ = stream.set_nodelay(true);
         let shared = Arc::clone(&shared);
         tokio::spawn(async move {
-            if let Err(error) = serve(&shared, stream).await {
+            if let Err(error) = serve_connection(&shared, stream).await {
                 log::trace!("event=peer_connection_ended from={from} reason={error:?}");
             }
         });
     }
 }
 
-async fn serve(
+async fn serve_connection(
     shared: &Arc<SharedState>,
     mut stream: TcpStream,
 ) -> Result<(), bergamot_peer::Error> {
     loop {
-        let question = match tokio::time::timeout(IDLE, read_frame(&mut stream)).await {
+        let question = match tokio::time::timeout(IDLE_TIMEOUT, read_frame(&mut stream)).await {
             Ok(Ok(question)) => question,
             Ok(Err(error)) => {
                 if !matches!(error, bergamot_peer::Error::Io(_)) {
@@ -185,7 +185,8 @@
             Err(_) => return Ok(()),
         };
         count_message(shared, "question", "in");
-        // A grant that its asker doesn't hear of would leave the key in progress: the process outlasts the answer.
+        // A grant that the claimant does not receive would leave the key in progress. The note keeps
+        // the process from exiting before the answer is written.
         let note = matches!(question, Question::Claim(_)).then(|| shared.claim_note());
         let answer = answer(shared, question).await;
         write_frame(&mut stream, &answer).await?;
@@ -216,17 +217,17 @@
             roll,
         } => {
             let now = shared.clock.now();
-            let question = LoanRequest {
+            let loan_request = LoanRequest {
                 account,
                 wanted,
                 epoch,
                 roll,
                 serial: 0,
             };
-            let lend = shared.routing.lock().lend(now, &question);
+            let loan_reply = shared.routing.lock().lend(now, &loan_request);
             Answer::Lent {
-                lent: lend.lent,
-                loan: lend.loan,
+                lent: loan_reply.lent,
+                loan: loan_reply.loan,
             }
         }
         Question::Crash(record) => {
--- a/crates/entry/src/duty/platform.rs
+++ b/crates/entry/src/duty/platform.rs
@@ -1,4 +1,5 @@
-//! The platform duty: calls the key-value service and the VM list, each call once.
+//! The platform duty: calls the key-value store and the VM list service. A call is sent once and not
+//! retried.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,23 +16,24 @@
 use crate::control::{ControlEvent, GROUP_PREFIX, ROLL_KEY, ROSTER_KEY, home_prefix};
 use crate::ring::RingReceiver;
 
-/// The first wait after a failed call.
+/// Wait after the first failed call.
 const FIRST_BACKOFF: Duration = Duration::from_millis(200);
-/// The longest wait after failed calls.
-const MOST_BACKOFF: Duration = Duration::from_secs(5);
-/// Calls that may come at once.
+/// Upper bound of the wait after repeated failures.
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
+/// Size of the call budget's burst, in seconds of its rate.
 const BURST_SECONDS: f64 = 3.0;
 
-/// What the loops of this duty share.
+/// State shared by the loops of this duty.
 struct Platform {
     shared: Arc<SharedState>,
     kv: KvClient,
     vm_list: VmListClient,
-    /// Keys that are being read: a second read would learn nothing more.
+    /// Keys with a read in flight. A second read of such a key is skipped, since it would return
+    /// nothing newer.
     reading: Mutex<IndexSet<String>>,
 }
 
-/// Runs until the ring closes.
+/// Runs the duty until the task ring is closed.
 pub async fn run(shared: Arc<SharedState>, mut tasks: RingReceiver<PlatformTask>) {
     let settings = &shared.settings;
     let timeout = settings.tuning.platform_timeout.as_duration();
@@ -44,9 +46,9 @@
         reading: Mutex::new(IndexSet::new()),
     });
     let tuning = &settings.tuning;
-    tokio::spawn(sync_loop(Arc::clone(&platform), tuning.sync_period));
+    tokio::spawn(roll_loop(Arc::clone(&platform), tuning.sync_period));
     tokio::spawn(roster_loop(Arc::clone(&platform), tuning.roster_period));
-    tokio::spawn(list_loop(Arc::clone(&platform), tuning.vm_list_period));
+    tokio::spawn(vm_list_loop(Arc::clone(&platform), tuning.vm_list_period));
     tokio::spawn(watch_loop(Arc::clone(&platform)));
     tokio::spawn(remote_loop(Arc::clone(&platform), tuning.remote_period));
     while let Some(task) = tasks.recv().await {
@@ -80,12 +82,12 @@
         self.shared.kv_calls.store(Arc::new(dump));
     }
 
-    /// Reads a key; false if it was not read.
+    /// Reads a key and reports the result to control. Returns false if the read failed.
     async fn read(&self, key: &str) -> bool {
         if !self.reading.lock().insert(key.to_owned()) {
             return true;
         }
-        let started = self.shared.clock.now();
+        let started_at = self.shared.clock.now();
         let outcome = self.kv.get(key).await;
         self.reading.lock().swap_remove(key);
         self.count("read", outcome.is_ok());
@@ -94,7 +96,7 @@
                 self.shared.tell_control(ControlEvent::Read {
                     key: key.to_owned(),
                     entry,
-                    started,
+                    started: started_at,
                 });
                 true
             }
@@ -109,23 +111,23 @@
     }
 
     async fn read_prefix(&self, prefix: &str) -> bool {
-        let started = self.shared.clock.now();
+        let started_at = self.shared.clock.now();
         let outcome = self.kv.get_prefix(prefix).await;
         self.count("read", outcome.is_ok());
         let Ok(entries) = outcome else {
             return false;
         };
         for entry in entries {
-            self.tell(entry, started);
+            self.report_entry(entry, started_at);
         }
         true
     }
 
-    fn tell(&self, entry: KvEntry, started: Millis) {
+    fn report_entry(&self, entry: KvEntry, started_at: Millis) {
         self.shared.tell_control(ControlEvent::Read {
             key: entry.key.clone(),
             entry: Some(entry),
-            started,
+            started: started_at,
         });
     }
 
@@ -141,31 +143,31 @@
         };
         let is_ok = matches!(outcome, SwapOutcome::Won(_) | SwapOutcome::Lost);
         self.count("swap", is_ok);
-        let is_lost = outcome != SwapOutcome::NotSent;
+        let is_sent = outcome != SwapOutcome::NotSent;
         let is_won = matches!(outcome, SwapOutcome::Won(_));
         self.shared.tell_control(ControlEvent::Swapped {
             key: key.clone(),
             nonce,
             outcome,
         });
-        if is_lost && !is_won {
+        if is_sent && !is_won {
             self.read(&key).await;
         }
     }
 }
 
-/// Runs `call` over and over: each period while it succeeds, with backoff while it fails.
-async fn repeat<Call, Done>(period: Millis, mut call: Call)
+/// Repeats `call` forever: once per period while it succeeds, with backoff while it fails.
+async fn call_periodically<Call, CallFuture>(period: Millis, mut call: Call)
 where
-    Call: FnMut() -> Done,
-    Done: Future<Output = bool>,
+    Call: FnMut() -> CallFuture,
+    CallFuture: Future<Output = bool>,
 {
-    let mut backoff = RetryBackoff::new(FIRST_BACKOFF, MOST_BACKOFF);
+    let mut backoff = RetryBackoff::new(FIRST_BACKOFF, MAX_BACKOFF);
     loop {
         let wait = match call().await {
             true => {
                 backoff.reset();
-                // Spread, so that entry VMs that started together do not call together.
+                // The jitter spreads the calls of entry VMs that started at the same time.
                 period.as_duration().mul_f64(rand::random_range(0.8..=1.2))
             }
             false => backoff.next_wait(&mut rand::rng()),
@@ -174,23 +176,23 @@
     }
 }
 
-async fn sync_loop(platform: Arc<Platform>, period: Millis) {
-    repeat(period, || platform.read(ROLL_KEY)).await;
+async fn roll_loop(platform: Arc<Platform>, period: Millis) {
+    call_periodically(period, || platform.read(ROLL_KEY)).await;
 }
 
 async fn roster_loop(platform: Arc<Platform>, period: Millis) {
-    repeat(period, || platform.read(ROSTER_KEY)).await;
+    call_periodically(period, || platform.read(ROSTER_KEY)).await;
 }
 
 async fn remote_loop(platform: Arc<Platform>, period: Millis) {
-    repeat(period, || platform.read_prefix(GROUP_PREFIX)).await;
+    call_periodically(period, || platform.read_prefix(GROUP_PREFIX)).await;
 }
 
-async fn list_loop(platform: Arc<Platform>, period: Millis) {
-    repeat(period, || async {
-        let listed = platform.vm_list.list().await;
-        platform.count("vm_list", listed.is_ok());
-        let Ok(vms) = listed else {
+async fn vm_list_loop(platform: Arc<Platform>, period: Millis) {
+    call_periodically(period, || async {
+        let list_result = platform.vm_list.list().await;
+        platform.count("vm_list", list_result.is_ok());
+        let Ok(vms) = list_result else {
             return false;
         };
         platform.shared.tell_control(ControlEvent::Listed(vms));
@@ -199,23 +201,23 @@
     .await;
 }
 
-/// Keeps one watch open on the groups of this failure domain.
+/// Keeps a watch open on the groups of this failure domain.
 async fn watch_loop(platform: Arc<Platform>) {
     let prefix = home_prefix(&platform.shared.settings.failure_domain);
-    repeat(Millis(100), || async {
-        let opened = platform.kv.watch(&prefix, 0).await;
-        platform.count("watch", opened.is_ok());
-        let Ok(mut watch) = opened else {
+    call_periodically(Millis(100), || async {
+        let watch_result = platform.kv.watch(&prefix, 0).await;
+        platform.count("watch", watch_result.is_ok());
+        let Ok(mut watch) = watch_result else {
             return false;
         };
-        // What changed before the watch was open is read once.
+        // Reads the changes from before the watch was opened.
         if !platform.read_prefix(&prefix).await {
             return false;
         }
         while let Ok(entries) = watch.next().await {
             let now = platform.shared.clock.now();
             for entry in entries {
-                platform.tell(entry, now);
+                platform.report_entry(entry, now);
             }
         }
         false
--- a/crates/entry/src/duty/probe.rs
+++ b/crates/entry/src/duty/probe.rs
@@ -1,4 +1,4 @@
-//! The probe duty: asks engines for reports and gives them orders.
+//! The probe duty: queries engines for reports and sends them orders.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use crate::control::ControlEvent;
 use crate::ring::RingReceiver;
 
-/// Runs until the ring closes.
+/// Runs the duty until the task ring is closed.
 pub async fn run(shared: Arc<SharedState>, mut tasks: RingReceiver<ProbeTask>) {
     let tuning = &shared.settings.tuning;
     let client = EngineClient::new(tuning.connect_timeout.as_duration());
@@ -19,14 +19,14 @@
         tokio::spawn(async move {
             match task {
                 ProbeTask::Probe(target) => {
-                    let asked = shared.clock.now();
+                    let asked_at = shared.clock.now();
                     let report = client.report(target.addr, timeout).await;
                     if let Err(error) = &report {
                         log::debug!("event=probe_failed vm={} reason={error:?}", target.vm);
                     }
                     shared.tell_control(ControlEvent::Report {
                         vm: target.vm,
-                        asked,
+                        asked: asked_at,
                         report: report.ok(),
                     });
                 }
--- a/crates/entry/src/duty/shared.rs
+++ b/crates/entry/src/duty/shared.rs
@@ -1,4 +1,4 @@
-//! What the duties have in common: rings, snapshots, clock, metrics.
+//! State shared by the duties: rings, snapshots, the clock and the metrics.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,83 +21,84 @@
 use crate::routing_state::RoutingState;
 use crate::settings::EntrySettings;
 
-/// What goes to the control duty.
+/// Input of the control duty.
 pub enum ControlInbox {
-    /// An event.
+    /// An event for the control state.
     Event(ControlEvent),
-    /// The state is wanted as JSON.
+    /// Requests the state as JSON.
     Dump(oneshot::Sender<serde_json::Value>),
-    /// The records of groups are wanted.
+    /// Requests the records of the groups.
     Groups(oneshot::Sender<Vec<GroupsEntry>>),
 }
 
-/// What goes to the platform duty.
+/// Task for the platform duty.
 pub enum PlatformTask {
-    /// Read a key.
+    /// Reads a key.
     Read(String),
-    /// Write a key if it is still at this revision.
+    /// Writes a key if its revision is the expected one.
     Swap {
         /// The key.
         key: String,
-        /// The revision it must have.
+        /// The expected revision; 0 if the key must not exist.
         expected: i64,
-        /// The value.
+        /// The new value.
         value: Vec<u8>,
-        /// The nonce in the value.
+        /// The nonce stored in the value, which identifies this write.
         nonce: u64,
     },
 }
 
-/// What goes to the peer duty.
+/// Task for the peer duty.
 pub enum PeerTask {
-    /// Send a datagram.
+    /// Sends a datagram.
     Send(SocketAddr, Box<Datagram>),
-    /// Ask a peer; the answer, if there is one, comes back.
+    /// Sends a question to a peer. The sender receives the answer, or `None` if there is none.
     Ask(SocketAddr, Question, oneshot::Sender<Option<Answer>>),
 }
 
-/// What goes to the probe duty.
+/// Task for the probe duty.
 pub enum ProbeTask {
-    /// Ask an engine for its report.
+    /// Queries an engine for its report.
     Probe(ProbeTarget),
-    /// Give an engine an order.
+    /// Sends an order to an engine.
     Order(ProbeTarget, VmOrder),
 }
 
-/// What goes to the claims duty.
+/// Input of the claims duty.
 pub enum ClaimsFront {
-    /// A request with a key wants to run.
+    /// Requests the claim of an idempotency key, so that a request may run.
     Ask {
         /// The key.
         key: ClaimKey,
-        /// Hash of the request.
+        /// The fingerprint of the request.
         body: u64,
-        /// How long it may run.
+        /// How long the request may run.
         grant: Millis,
-        /// Where the verdict goes, with the number of the attempt.
+        /// Receives the number of the attempt and the verdict.
         reply: oneshot::Sender<(u64, Verdict)>,
     },
-    /// A granted request ended.
+    /// Reports that a request with a granted claim ended.
     Finish {
         /// The key.
         key: ClaimKey,
         /// The number of the attempt.
         attempt: u64,
-        /// How.
+        /// How the request ended.
         outcome: FinishOutcome,
-        /// Held until its owner knows.
+        /// Held until the owner of the claim has been notified.
         note: ClaimNote,
     },
-    /// A peer's question, with where its answer goes.
+    /// A question from a peer and the sender for its answer.
     Peer(Question, oneshot::Sender<Answer>),
-    /// Something the claims themselves asked for came back.
+    /// The result of a call that the claim state requested.
     Event(ClaimEvent),
-    /// The state is wanted as JSON.
+    /// Requests the state as JSON.
     Dump(oneshot::Sender<serde_json::Value>),
 }
 
-/// A note on a claim that the process must not end before: a verdict for a peer, or how a request ended. Without it a claim stays granted
-/// that nobody uses, and its key cannot be decided.
+/// Guard for a message about a claim that must be delivered before the process exits: a verdict for a
+/// peer, or the outcome of a request. If the message is lost, the claim stays granted although nothing
+/// runs under it, and the outcome of its key cannot be determined.
 pub struct ClaimNote {
     count: Arc<AtomicI64>,
 }
@@ -108,46 +109,46 @@
     }
 }
 
-/// Everything the duties share.
+/// State shared by all duties.
 pub struct SharedState {
-    /// The settings.
+    /// The settings of this entry VM.
     pub settings: EntrySettings,
-    /// This run of the daemon.
+    /// The incarnation of this process.
     pub incarnation: u64,
-    /// The clock.
+    /// The time since boot.
     pub clock: BootClock,
-    /// The metrics.
+    /// The exported metrics.
     pub metrics: EntryMetrics,
-    /// The newest snapshot of routes.
+    /// The latest snapshot of the routes.
     pub view: ArcSwap<RouteView>,
-    /// Requests under which upstreams ended.
+    /// Requests that are suspected of crashing upstreams.
     pub quarantine: Mutex<QuarantineState>,
-    /// The state of routing.
+    /// The routing state.
     pub routing: Mutex<RoutingState>,
     /// Whether the daemon is stopping.
     pub stopping: AtomicBool,
-    /// Callers' requests that have not been answered in full.
+    /// Callers' requests whose response is not complete.
     pub in_flight: AtomicI64,
-    /// Notes on claims that are on their way; see [`ClaimNote`].
+    /// Number of live [`ClaimNote`] guards.
     pub claim_notes: Arc<AtomicI64>,
-    /// Whether no claim is granted any more, as the process is about to end.
+    /// Whether claims are rejected because the process is about to exit.
     pub are_claims_closed: AtomicBool,
-    /// To the control duty.
+    /// The inbox of the control duty.
     pub control: RingSender<ControlInbox>,
-    /// To the platform duty.
+    /// Tasks for the platform duty.
     pub platform: RingSender<PlatformTask>,
-    /// To the peer duty.
+    /// Tasks for the peer duty.
     pub peer: RingSender<PeerTask>,
-    /// To the probe duty.
+    /// Tasks for the probe duty.
     pub probe: RingSender<ProbeTask>,
-    /// To the claims duty.
+    /// The inbox of the claims duty.
     pub claims: RingSender<ClaimsFront>,
-    /// Calls to the key-value service so far.
+    /// Counts of calls to the key-value store, for the dump.
     pub kv_calls: ArcSwap<serde_json::Value>,
 }
 
 impl SharedState {
-    /// Hands an event to control.
+    /// Queues an event for control. If the ring is full, the event is dropped and counted.
     pub fn tell_control(&self, event: ControlEvent) {
         if !self.control.push(ControlInbox::Event(event)) {
             self.metrics
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Counts a note on a claim until the guard is dropped.
+    /// Registers a message about a claim until the returned guard is dropped.
     pub fn claim_note(&self) -> ClaimNote {
         self.claim_notes.fetch_add(1, Ordering::SeqCst);
         ClaimNote {
@@ -170,7 +171,7 @@
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Asks a peer and waits for its answer.
+    /// Sends a question to a peer and waits for its answer. Returns `None` if there is none.
     pub async fn ask_peer(self: &Arc<Self>, to: SocketAddr, question: Question) -> Option<Answer> {
         let (sender, receiver) = oneshot::channel();
         if !self.peer.push(PeerTask::Ask(to, question, sender)) {
@@ -179,7 +180,7 @@
         receiver.await.ok().flatten()
     }
 
-    /// The peer address of a member, by the newest roster.
+    /// Returns the peer address of a member, according to the latest roster.
     pub fn peer_addr(&self, entry: &EntryId) -> Option<SocketAddr> {
         let view = self.view.load();
         view.roster.member(entry).map(|member| member.peer_addr)
