--- a/crates/entry/tests/golden.rs
+++ b/crates/entry/tests/golden.rs
@@ -1,6 +1,7 @@
-//! A whole session of one entry VM's control, as one line of key=value pairs an action.
+//! Golden test of a control session on one entry VM. Each action is logged as one line of key=value
+//! pairs.
 //!
-//! `BERGAMOT_RENEW=1 cargo test -p bergamot-entry --test golden` writes the file anew.
+//! `BERGAMOT_RENEW=1 cargo test -p bergamot-entry --test golden` rewrites the golden file.
 
 use bergamot_bundle::document::ModelSpec;
 use bergamot_bundle::{
@@ -25,13 +26,13 @@
     store: IndexMap<String, (i64, Vec<u8>)>,
     revision: i64,
     engines: IndexMap<VmId, EngineReport>,
-    dead: Vec<VmId>,
+    crashed: Vec<VmId>,
     leaving: Vec<VmId>,
     lines: Vec<String>,
     routable: usize,
 }
 
-fn key() -> SignerKey {
+fn operator_key() -> SignerKey {
     SignerKey::from_seed(&[3; 32])
 }
 
@@ -64,7 +65,7 @@
 
 impl Session {
     fn new() -> Self {
-        let me = Member {
+        let own_member = Member {
             entry: EntryId::new("entry-1"),
             vm: VmId::new("vm-entry-1"),
             incarnation: 1,
@@ -79,29 +80,31 @@
             evidence_max_age: Millis(3_000),
             gate_timeout: Millis(60_000),
             operators: KeyRing {
-                signers: [key().public()].into(),
+                signers: [operator_key().public()].into(),
                 threshold: 1,
             },
         };
         Self {
             now: Millis(10_000),
-            state: ControlState::new(me, options),
+            state: ControlState::new(own_member, options),
             store: IndexMap::new(),
             revision: 0,
-            engines: (0..VMS).map(|i| (vm(i), EngineReport::default())).collect(),
-            dead: Vec::new(),
+            engines: (0..VMS)
+                .map(|index| (vm(index), EngineReport::default()))
+                .collect(),
+            crashed: Vec::new(),
             leaving: Vec::new(),
             lines: Vec::new(),
             routable: 0,
         }
     }
 
-    fn note(&mut self, line: &str) {
+    fn log(&mut self, line: &str) {
         let now = self.now;
         self.lines.push(format!("at_ms={now} {line}"));
     }
 
-    fn write(&mut self, key: &str, expected: i64, value: Vec<u8>) -> Option<i64> {
+    fn swap(&mut self, key: &str, expected: i64, value: Vec<u8>) -> Option<i64> {
         let current = self.store.get(key).map_or(0, |(revision, _)| *revision);
         if current != expected {
             return None;
@@ -111,56 +114,56 @@
         Some(self.revision)
     }
 
-    fn roll(&mut self, version: &str) {
-        let keys = [key()];
+    fn publish_bundle(&mut self, version: &str) {
+        let keys = [operator_key()];
         let bytes = serde_json::to_vec(&document(version)).expect("JSON");
         let signed = SignedBundle::sign(bytes, &keys);
         let digest = signed.digest();
         let value = serde_json::to_vec(&signed).expect("JSON");
-        self.write(&bundle_key(&digest), 0, value);
+        self.swap(&bundle_key(&digest), 0, value);
         let current = self.store.get(ROLL_KEY).cloned();
         let revision = current.as_ref().map_or(0, |(revision, _)| *revision);
         let current: Option<RollRecord> =
             current.map(|(_, value)| serde_json::from_slice(&value).expect("JSON"));
         let next = RollRecord::next(current.as_ref(), digest, 1, &keys);
         let value = serde_json::to_vec(&next).expect("JSON");
-        self.write(ROLL_KEY, revision, value);
-        self.note(&format!(
+        self.swap(ROLL_KEY, revision, value);
+        self.log(&format!(
             "operator=roll number={} version={version}",
             next.number
         ));
     }
 
     fn run(&mut self, seconds: u64) {
-        const TICK: u64 = 100;
-        for step in 0..seconds * 1_000 / TICK {
-            self.now = self.now + Millis(TICK);
+        const TICK_MS: u64 = 100;
+        for step in 0..seconds * 1_000 / TICK_MS {
+            self.now = self.now + Millis(TICK_MS);
             if step.is_multiple_of(10) {
                 for key in [ROLL_KEY, ROSTER_KEY] {
-                    self.read(key);
+                    self.feed_read(key);
                 }
-                self.list();
+                self.feed_vm_list();
             }
             self.feed(ControlEvent::Tick);
         }
     }
 
-    fn read(&mut self, key: &str) {
+    fn feed_read(&mut self, key: &str) {
         let entry = self.store.get(key).map(|(revision, value)| KvEntry {
             key: key.to_owned(),
             value: value.clone(),
             revision: *revision,
         });
-        let started = self.now;
+        let started_at = self.now;
         self.feed(ControlEvent::Read {
             key: key.to_owned(),
             entry,
-            started,
+            started: started_at,
         });
     }
 
-    fn list(&mut self) {
-        let vms = self.engines.keys().map(|vm| VmFact {
+    fn feed_vm_list(&mut self) {
+        let engine_vms = self.engines.keys().map(|vm| VmFact {
             vm: vm.clone(),
             kind: VmKind::Engine,
             state: match self.leaving.contains(vm) {
@@ -181,7 +184,7 @@
             addr: ([10, 0, 0, 1], 81).into(),
             accelerators: 0,
         };
-        let vms = vms.chain([entry]).collect();
+        let vms = engine_vms.chain([entry]).collect();
         self.feed(ControlEvent::Listed(vms));
     }
 
@@ -190,12 +193,12 @@
         while !events.is_empty() {
             let event = events.remove(0);
             for action in self.state.handle(self.now, event) {
-                events.extend(self.carry_out(action));
+                events.extend(self.execute(action));
             }
         }
     }
 
-    fn carry_out(&mut self, action: ControlAction) -> Option<ControlEvent> {
+    fn execute(&mut self, action: ControlAction) -> Option<ControlEvent> {
         match action {
             ControlAction::Read(key) => {
                 let entry = self.store.get(&key).map(|(revision, value)| KvEntry {
@@ -203,11 +206,11 @@
                     value: value.clone(),
                     revision: *revision,
                 });
-                let started = self.now;
+                let started_at = self.now;
                 Some(ControlEvent::Read {
                     key,
                     entry,
-                    started,
+                    started: started_at,
                 })
             }
             ControlAction::Swap {
@@ -229,13 +232,13 @@
                         })
                         .collect();
                     let term = record.term;
-                    self.note(&format!(
+                    self.log(&format!(
                         "record=groups term={term} groups={}",
                         groups.join(",")
                     ));
                 }
                 let outcome = self
-                    .write(&key, expected, value)
+                    .swap(&key, expected, value)
                     .map_or(SwapOutcome::Lost, SwapOutcome::Won);
                 Some(ControlEvent::Swapped {
                     key,
@@ -244,17 +247,17 @@
                 })
             }
             ControlAction::Probe(target) => {
-                let is_dead = self.dead.contains(&target.vm);
+                let is_crashed = self.crashed.contains(&target.vm);
                 let report = self.engines.get(&target.vm).cloned();
-                let asked = self.now;
+                let asked_at = self.now;
                 Some(ControlEvent::Report {
                     vm: target.vm,
-                    asked,
-                    report: report.filter(|_| !is_dead),
+                    asked: asked_at,
+                    report: report.filter(|_| !is_crashed),
                 })
             }
             ControlAction::Order { target, order } => {
-                self.obey(&target.vm, &order);
+                self.apply_order(&target.vm, &order);
                 Some(ControlEvent::Ordered { vm: target.vm })
             }
             ControlAction::Roster(record) => Some(ControlEvent::ClaimsSettled(record.epoch)),
@@ -262,13 +265,13 @@
                 let routable = view.groups.len();
                 if routable != self.routable {
                     self.routable = routable;
-                    self.note(&format!("routes=changed groups={routable}"));
+                    self.log(&format!("routes=changed groups={routable}"));
                 }
                 None
             }
             ControlAction::Note(line) => {
                 if !line.starts_with("event=groups_swapped") {
-                    self.note(&line);
+                    self.log(&line);
                 }
                 None
             }
@@ -276,8 +279,8 @@
         }
     }
 
-    fn obey(&mut self, vm: &VmId, order: &VmOrder) {
-        if self.dead.contains(vm) {
+    fn apply_order(&mut self, vm: &VmId, order: &VmOrder) {
+        if self.crashed.contains(vm) {
             return;
         }
         let report = &mut self.engines[vm];
@@ -304,31 +307,31 @@
 }
 
 #[test]
-fn a_session_reads_as_it_did() {
+fn session_matches_the_golden_file() {
     let mut session = Session::new();
     session.run(2);
-    session.roll("1");
+    session.publish_bundle("1");
     session.run(12);
-    session.note("fault=dies vm=vm-0");
-    session.dead.push(vm(0));
+    session.log("fault=dies vm=vm-0");
+    session.crashed.push(vm(0));
     session.run(12);
-    session.note("fault=returns_empty vm=vm-0");
-    session.dead.clear();
+    session.log("fault=returns_empty vm=vm-0");
+    session.crashed.clear();
     session.engines[&vm(0)] = EngineReport::default();
     session.run(30);
-    session.roll("2");
+    session.publish_bundle("2");
     session.run(60);
-    session.note("platform=leaving vm=vm-3");
+    session.log("platform=leaving vm=vm-3");
     session.leaving.push(vm(3));
     session.run(30);
     let text = session.lines.join("\n") + "\n";
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/session.txt");
     if std::env::var_os("BERGAMOT_RENEW").is_some() {
-        std::fs::write(path, &text).expect("the file is written");
+        std::fs::write(path, &text).expect("the golden file cannot be written");
     }
     let golden = std::fs::read_to_string(path).unwrap_or_default();
-    for (line, (now, before)) in text.lines().zip(golden.lines()).enumerate() {
-        assert_eq!(now, before, "line {}", line + 1);
+    for (index, (actual, expected)) in text.lines().zip(golden.lines()).enumerate() {
+        assert_eq!(actual, expected, "line {}", index + 1);
     }
     assert_eq!(text.lines().count(), golden.lines().count());
 }
--- a/crates/entry/tests/settings.rs
+++ b/crates/entry/tests/settings.rs
@@ -1,74 +1,79 @@
-//! Unfit settings are refused with file, field and reason.
+//! Invalid settings are rejected with an error that states the file, the field and the reason.
 
 use std::path::PathBuf;
 
 use bergamot_entry::EntrySettings;
 
-struct UnfitCase {
+struct InvalidCase {
     name: &'static str,
     change: fn(&mut serde_json::Value),
-    said: &'static str,
+    expected_error: &'static str,
 }
 
-fn write(name: &str, value: &serde_json::Value) -> PathBuf {
+fn write_settings(name: &str, value: &serde_json::Value) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("bergamot-settings-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("the folder cannot be created");
     let path = folder.join(format!("{}.json", name.replace(' ', "-")));
-    std::fs::write(&path, value.to_string()).expect("a file");
+    std::fs::write(&path, value.to_string()).expect("the file cannot be written");
     path
 }
 
 #[test]
-fn the_sample_is_fit() {
+fn sample_settings_are_valid() {
     let sample = serde_json::to_value(EntrySettings::sample()).expect("JSON");
-    EntrySettings::load(&write("sample", &sample)).expect("the sample is fit");
+    EntrySettings::load(&write_settings("sample", &sample))
+        .expect("the sample settings are invalid");
 }
 
 #[test]
-fn unfit_settings_are_named() {
+fn error_names_the_file_and_the_invalid_field() {
     let cases = [
-        UnfitCase {
-            name: "an unknown field",
+        InvalidCase {
+            name: "unknown field",
             change: |value| value["speed"] = 9.into(),
-            said: "speed",
+            expected_error: "speed",
         },
-        UnfitCase {
-            name: "an unknown tuning field",
+        InvalidCase {
+            name: "unknown tuning field",
             change: |value| value["tuning"]["spin"] = 9.into(),
-            said: "spin",
+            expected_error: "spin",
         },
-        UnfitCase {
-            name: "no failure domain",
+        InvalidCase {
+            name: "empty failure domain",
             change: |value| value["failure_domain"] = "".into(),
-            said: "failure_domain: must not be empty",
+            expected_error: "failure_domain: must not be empty",
         },
-        UnfitCase {
-            name: "a threshold beyond the signers",
+        InvalidCase {
+            name: "signer threshold above the number of signers",
             change: |value| value["operators"]["threshold"] = 5.into(),
-            said: "operators.threshold",
+            expected_error: "operators.threshold",
         },
-        UnfitCase {
-            name: "evidence that is never fresh",
+        InvalidCase {
+            name: "probe period longer than the age limit of evidence",
             change: |value| value["tuning"]["probe_period"] = 60_000.into(),
-            said: "tuning.probe_period",
+            expected_error: "tuning.probe_period",
         },
-        UnfitCase {
-            name: "a drain shorter than evidence counts",
+        InvalidCase {
+            name: "drain shorter than the age limit of evidence",
             change: |value| value["placement"]["min_drain"] = 10.into(),
-            said: "placement.min_drain",
+            expected_error: "placement.min_drain",
         },
-        UnfitCase {
-            name: "an address that is none",
+        InvalidCase {
+            name: "invalid address",
             change: |value| value["caller_addr"] = "here".into(),
-            said: "socket address",
+            expected_error: "socket address",
         },
     ];
     for case in cases {
         let mut value = serde_json::to_value(EntrySettings::sample()).expect("JSON");
         (case.change)(&mut value);
-        let path = write(case.name, &value);
+        let path = write_settings(case.name, &value);
         let error = EntrySettings::load(&path).expect_err(case.name).to_string();
-        assert!(error.contains(case.said), "{}: {error}", case.name);
+        assert!(
+            error.contains(case.expected_error),
+            "{}: {error}",
+            case.name
+        );
         assert!(error.contains(".json"), "{}: {error}", case.name);
     }
 }
--- a/crates/entry/tests/soak.rs
+++ b/crates/entry/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A short soak of this program, and the faults that once broke a promise.
+//! Short soak runs of this program, including fault sequences that violated an invariant before.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -8,62 +8,63 @@
     FaultKind, FaultPlan, LinkState, SoakOptions, SoakOutcome, TimedFault, run_plan,
 };
 
-/// Faults that are always played.
+/// A soak run that is part of every test run.
 struct SoakCase {
     name: &'static str,
     faults: SoakFaults,
 }
 
 enum SoakFaults {
-    /// Those of a seed.
+    /// Draws the faults from a seed.
     Seed(u64),
-    /// These: when they begin and how long they last, in milliseconds.
-    Known(&'static [(u64, u64, FaultKind)]),
+    /// A fixed list: start and duration in milliseconds, and the kind of the fault.
+    Fixed(&'static [(u64, u64, FaultKind)]),
 }
 
-/// How late the answers of a slow desk are.
-const SLOW_ANSWER: Duration = Duration::from_millis(45);
+/// Delay of the responses of a slow desk upstream.
+const RESPONSE_DELAY: Duration = Duration::from_millis(45);
 
 const CASES: [SoakCase; 8] = [
     SoakCase {
-        name: "any",
+        name: "drawn from seed 1",
         faults: SoakFaults::Seed(1),
     },
     SoakCase {
-        name: "any other",
+        name: "drawn from seed 2",
         faults: SoakFaults::Seed(2),
     },
-    // Drawn by seeds 100 and 302: the signal ended the process, which had just started.
+    // From seeds 100 and 302: the reload signal killed the process, which had just started.
     SoakCase {
-        name: "told to read its settings right after a start",
-        faults: SoakFaults::Known(&[
+        name: "settings reload right after a start",
+        faults: SoakFaults::Fixed(&[
             (500, 1_000, FaultKind::KillEntry(4)),
             (700, 100, FaultKind::ReloadEntry(4)),
         ]),
     },
-    // Drawn by seed 21203.
+    // From seed 21203.
     SoakCase {
-        name: "paused while it stops, and told to read its settings right after that",
-        faults: SoakFaults::Known(&[
+        name: "pause during a stop, then a settings reload",
+        faults: SoakFaults::Fixed(&[
             (0, 300, FaultKind::StopEntry(4)),
             (50, 1_000, FaultKind::PauseEntry(4)),
             (100, 100, FaultKind::ReloadEntry(4)),
         ]),
     },
-    // What seed 21203 drew: the process stood still from its first moment on, and was told before it had taken its
-    // signals over. A kill holds the process until it has been started again, so that the pause waits for the start.
+    // From seed 21203: the process was paused as soon as it was started, and received the reload signal before
+    // it had installed its signal handlers. A kill fault locks the process until it is restarted, so the pause
+    // waits for the start.
     SoakCase {
-        name: "paused right after a start, and told to read its settings right after that",
-        faults: SoakFaults::Known(&[
+        name: "pause right after a start, then a settings reload",
+        faults: SoakFaults::Fixed(&[
             (0, 300, FaultKind::KillEntry(4)),
             (50, 1_000, FaultKind::PauseEntry(4)),
             (100, 100, FaultKind::ReloadEntry(4)),
         ]),
     },
-    // Drawn by seed 21108: the check took no account of the entry that the second fault's end brought back.
+    // From seed 21108: the check ignored the entry that was restored when the second fault ended.
     SoakCase {
-        name: "an entry written over twice, the second time within the first",
-        faults: SoakFaults::Known(&[
+        name: "an entry overwritten twice, the second time during the first fault",
+        faults: SoakFaults::Fixed(&[
             (0, 7_000, FaultKind::ForeignEntry(UpstreamRole::Desk, 1, 0)),
             (
                 1_900,
@@ -73,22 +74,22 @@
         ]),
     },
     SoakCase {
-        name: "requests that end upstreams, beside a killed process and one without the store",
-        faults: SoakFaults::Known(&[
+        name: "requests that crash upstreams, with one process killed and another cut off from the store",
+        faults: SoakFaults::Fixed(&[
             (0, 9_000, FaultKind::HarmfulRequest(UpstreamRole::Engine, 0)),
             (500, 9_000, FaultKind::HarmfulRequest(UpstreamRole::Desk, 1)),
             (600, 1_000, FaultKind::KillEntry(1)),
             (700, 2_500, FaultKind::StoreLink(2, LinkState::Silent)),
         ]),
     },
-    // The faults beside the stops are early, as what they befall is excused until 2.5 s after their end.
+    // The other faults come early, as the check excuses their effects until 2.5 s after they end.
     SoakCase {
-        name: "planned stops one upon another, beside a pause, new settings, a second signal and a store outage",
-        faults: SoakFaults::Known(&[
-            // Answers take time, so that the end of a process falls into them.
-            (0, 19_000, FaultKind::DeskSlow(0, SLOW_ANSWER)),
-            (0, 19_000, FaultKind::DeskSlow(1, SLOW_ANSWER)),
-            (0, 19_000, FaultKind::DeskSlow(2, SLOW_ANSWER)),
+        name: "overlapping planned stops with a pause, settings reloads, a second signal and a store outage",
+        faults: SoakFaults::Fixed(&[
+            // Slow responses, so that processes exit while requests are in flight.
+            (0, 19_000, FaultKind::DeskSlow(0, RESPONSE_DELAY)),
+            (0, 19_000, FaultKind::DeskSlow(1, RESPONSE_DELAY)),
+            (0, 19_000, FaultKind::DeskSlow(2, RESPONSE_DELAY)),
             (0, 200, FaultKind::StopEntry(0)),
             (300, 200, FaultKind::StopEntry(1)),
             (600, 200, FaultKind::StopEntry(2)),
@@ -109,29 +110,29 @@
     },
 ];
 
-/// Places of processes between one run and the next.
-const PLACES: usize = 16;
+/// Number of process indices reserved for each run.
+const PLACES_PER_RUN: usize = 16;
 
-async fn play(index: usize, case: &SoakCase) -> (PathBuf, SoakOutcome) {
+async fn run_case(index: usize, case: &SoakCase) -> (PathBuf, SoakOutcome) {
     let program = PathBuf::from(env!("CARGO_BIN_EXE_bergamot-entry"));
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("soak-{index}"));
     let options = SoakOptions {
-        first_place: index * PLACES,
+        first_place: index * PLACES_PER_RUN,
         length: Duration::from_secs(5),
         faults: 8,
         ..SoakOptions::usual(program, folder.clone())
     };
     let plan = match case.faults {
         SoakFaults::Seed(seed) => FaultPlan::draw(seed, &options),
-        SoakFaults::Known(faults) => FaultPlan {
-            faults: faults.iter().copied().map(timed).collect(),
+        SoakFaults::Fixed(faults) => FaultPlan {
+            faults: faults.iter().copied().map(to_timed_fault).collect(),
         },
     };
     let outcome = run_plan(&plan, index as u64, &options).await;
-    (folder, outcome.expect("everything starts"))
+    (folder, outcome.expect("the soak run cannot be started"))
 }
 
-fn timed((at, length, kind): (u64, u64, FaultKind)) -> TimedFault {
+fn to_timed_fault((at, length, kind): (u64, u64, FaultKind)) -> TimedFault {
     TimedFault {
         at: Duration::from_millis(at),
         length: Duration::from_millis(length),
@@ -140,10 +141,10 @@
 }
 
 #[test]
-fn no_promise_is_broken_by_faults_from_outside() {
-    let runtime = tokio::runtime::Runtime::new().expect("a runtime starts");
+fn external_faults_violate_no_invariant() {
+    let runtime = tokio::runtime::Runtime::new().expect("the runtime cannot be started");
     let runs = CASES.iter().enumerate();
-    let runs = runs.map(|(index, case)| play(index, case));
+    let runs = runs.map(|(index, case)| run_case(index, case));
     let outcomes = runtime.block_on(futures::future::join_all(runs));
     for (case, (folder, outcome)) in CASES.iter().zip(outcomes) {
         assert!(
--- a/crates/entry/tests/stop.rs
+++ b/crates/entry/tests/stop.rs
@@ -1,10 +1,11 @@
-//! What callers get who come around the end of a planned stop.
+//! Requests that arrive near the end of a planned stop must be answered.
 //!
-//! What they saw: a request was run by its upstream, and its connection was closed without an answer 41 ms after it had
-//! been sent, 3.7 s after the signal to stop. Order of events: signal; idle connections are closed; at a look no
-//! connection is open; a caller connects, its request is sent on; the process ends. Cause: the end was decided from a
-//! sample of open connections while the listener went on accepting. Evidence: in eight of eight lost requests the log
-//! said that the process had stopped with no connection open 20 to 66 ms before the request was read.
+//! Guards against a process that decides to exit from a sample of its open connections while its
+//! listener still accepts: idle connections are closed, the sample finds none open, a caller connects
+//! and its request is forwarded, and the process exits. The upstream then runs a request whose
+//! connection is closed without a response, for example 41 ms after it was sent and 3.7 s after the signal.
+//! In all eight requests lost this way, the process had logged that no connection was open 20 to 66 ms
+//! before it read the request.
 
 mod support;
 
@@ -18,58 +19,59 @@
 use rand_chacha::ChaCha8Rng;
 use support::RunningEntry;
 
-/// Processes that are stopped side by side. One stop shows the fault about every third time at this answer time and these
-/// pauses.
-const STOPS: u8 = 16;
-/// How long the upstream takes for an answer, in milliseconds.
-const ANSWER_DELAY_MS: u64 = 45;
-/// The longest pause of a caller between two requests, in milliseconds.
-const LONGEST_PAUSE_MS: u64 = 60;
-/// How long a stop takes where answers take moments: the notice, a second for silent connections, another for slow bodies,
-/// and a busy machine.
-const PROMPT: Duration = Duration::from_millis(6_000);
-/// Time after the signal in which the balancer learns of the stop.
+/// Processes stopped in parallel. With this response delay and these pauses, about one stop in three
+/// reproduces the fault.
+const STOP_COUNT: u8 = 16;
+/// Delay of the upstream's responses, in milliseconds.
+const RESPONSE_DELAY_MS: u64 = 45;
+/// Upper bound of a caller's pause between two requests, in milliseconds.
+const MAX_PAUSE_MS: u64 = 60;
+/// Bound on a stop with fast responses: the notice time, one second for idle connections, another for
+/// slow bodies, and some slack for a busy host.
+const MAX_STOP_TIME: Duration = Duration::from_millis(6_000);
+/// Time after the signal within which the load balancer notices the stop.
 const NOTICE_TIME: Duration = Duration::from_millis(2_600);
 
-/// How a request ended for its caller.
+/// The outcome of a request for its caller.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum RequestEnd {
+enum RequestOutcome {
     Answered,
     Unanswered,
     NotConnected,
 }
 
-/// A request and how it ended.
-type EndedRequest = (String, RequestEnd);
+/// The id of a request and its outcome.
+type RequestResult = (String, RequestOutcome);
 
-/// How a caller sends requests until nothing listens any more.
+/// How a caller sends requests until the listener is closed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum CallerKind {
     ConnectEachTime,
-    KeepConnection,
-    Dawdle,
-    SayNothing,
+    ReuseConnection,
+    SendSlowly,
+    SendNothing,
 }
 
 impl CallerKind {
-    fn run(self, front: SocketAddr, seed: u64) -> Vec<EndedRequest> {
+    fn run(self, caller_addr: SocketAddr, seed: u64) -> Vec<RequestResult> {
         match self {
-            Self::ConnectEachTime => connect_each_time(front, seed),
-            Self::KeepConnection => keep_connection(front, seed),
-            Self::Dawdle => dawdle(front, seed),
-            Self::SayNothing => say_nothing(front),
+            Self::ConnectEachTime => connect_each_time(caller_addr, seed),
+            Self::ReuseConnection => reuse_connection(caller_addr, seed),
+            Self::SendSlowly => send_slowly(caller_addr, seed),
+            Self::SendNothing => send_nothing(caller_addr),
         }
     }
 
-    /// Requests that had no answer, though their caller had connected for them. One may meet the end of the listener.
-    fn unread(self, ends: &[EndedRequest]) -> usize {
-        let unanswered = ends
+    /// Counts the requests without a response whose caller had connected for them. One of them may have
+    /// reached the listener as it closed, and is not counted.
+    fn count_lost(self, outcomes: &[RequestResult]) -> usize {
+        let unanswered = outcomes
             .iter()
-            .filter(|(_, end)| *end == RequestEnd::Unanswered);
+            .filter(|(_, outcome)| *outcome == RequestOutcome::Unanswered);
         match self {
-            Self::ConnectEachTime | Self::Dawdle => unanswered.count().saturating_sub(1),
-            // It goes on with connections that it was told would be closed.
-            Self::KeepConnection | Self::SayNothing => 0,
+            Self::ConnectEachTime | Self::SendSlowly => unanswered.count().saturating_sub(1),
+            // These callers keep using connections after `Connection: close`.
+            Self::ReuseConnection | Self::SendNothing => 0,
         }
     }
 }
@@ -80,9 +82,9 @@
 }
 
 impl CallerLink {
-    /// Connects. None where nothing listens, or the connection is reset before it is used.
-    fn connect(front: SocketAddr) -> Option<Self> {
-        let stream = match TcpStream::connect(front) {
+    /// Connects. Returns `None` if nothing listens or the connection is reset before it is used.
+    fn connect(caller_addr: SocketAddr) -> Option<Self> {
+        let stream = match TcpStream::connect(caller_addr) {
             Ok(stream) => stream,
             Err(error) => {
                 let kinds = [ErrorKind::ConnectionRefused, ErrorKind::ConnectionReset];
@@ -90,8 +92,8 @@
                 return None;
             }
         };
-        let patience = Some(Duration::from_secs(10));
-        stream.set_read_timeout(patience).ok()?;
+        let timeout = Some(Duration::from_secs(10));
+        stream.set_read_timeout(timeout).ok()?;
         Some(Self { stream })
     }
 
@@ -99,12 +101,17 @@
         self.stream.write_all(bytes).is_ok()
     }
 
-    /// Reads one answer with a length. Whether it came whole, and whether the connection stays open.
-    fn read_answer(&mut self) -> Option<bool> {
+    /// Reads one response with a `Content-Length`. Returns whether the connection stays open, or `None` if
+    /// the response is incomplete.
+    fn read_response(&mut self) -> Option<bool> {
         let mut raw = Vec::new();
         let mut buffer = [0_u8; 4_096];
         loop {
-            let count = self.stream.read(&mut buffer).ok().filter(|it| *it > 0)?;
+            let count = self
+                .stream
+                .read(&mut buffer)
+                .ok()
+                .filter(|count| *count > 0)?;
             raw.extend_from_slice(&buffer[..count]);
             let text = String::from_utf8_lossy(&raw).to_ascii_lowercase();
             let Some((head, body)) = text.split_once("\r\n\r\n") else {
@@ -133,100 +140,103 @@
     text
 }
 
-/// A connection for each request, with drawn pauses: at moments none is open.
-fn connect_each_time(front: SocketAddr, seed: u64) -> Vec<EndedRequest> {
+/// Opens a connection for each request, with random pauses, so that at times none is open.
+fn connect_each_time(caller_addr: SocketAddr, seed: u64) -> Vec<RequestResult> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut ends = Vec::new();
+    let mut outcomes = Vec::new();
     loop {
-        let id = format!("each-{seed}-{}", ends.len());
-        let Some(mut link) = CallerLink::connect(front) else {
-            ends.push((id, RequestEnd::NotConnected));
-            return ends;
+        let id = format!("each-{seed}-{}", outcomes.len());
+        let Some(mut link) = CallerLink::connect(caller_addr) else {
+            outcomes.push((id, RequestOutcome::NotConnected));
+            return outcomes;
         };
         let is_sent = link.send(request_text(&id, "GET", 0).as_bytes());
-        let end = match is_sent && link.read_answer().is_some() {
-            true => RequestEnd::Answered,
-            false => RequestEnd::Unanswered,
+        let outcome = match is_sent && link.read_response().is_some() {
+            true => RequestOutcome::Answered,
+            false => RequestOutcome::Unanswered,
         };
-        ends.push((id, end));
-        pause(&mut rng, LONGEST_PAUSE_MS);
+        outcomes.push((id, outcome));
+        pause(&mut rng, MAX_PAUSE_MS);
     }
 }
 
-/// One connection for as long as it lasts, also after an answer that says that it will be closed.
-fn keep_connection(front: SocketAddr, seed: u64) -> Vec<EndedRequest> {
+/// Uses one connection as long as it lasts, even after a response with `Connection: close`.
+fn reuse_connection(caller_addr: SocketAddr, seed: u64) -> Vec<RequestResult> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut ends = Vec::new();
-    let mut kept: Option<CallerLink> = None;
+    let mut outcomes = Vec::new();
+    let mut open_link: Option<CallerLink> = None;
     loop {
-        let id = format!("kept-{seed}-{}", ends.len());
-        let Some(mut link) = kept.take().or_else(|| CallerLink::connect(front)) else {
-            ends.push((id, RequestEnd::NotConnected));
-            return ends;
+        let id = format!("kept-{seed}-{}", outcomes.len());
+        let Some(mut link) = open_link
+            .take()
+            .or_else(|| CallerLink::connect(caller_addr))
+        else {
+            outcomes.push((id, RequestOutcome::NotConnected));
+            return outcomes;
         };
         let is_sent = link.send(request_text(&id, "GET", 0).as_bytes());
-        match link.read_answer().filter(|_| is_sent) {
+        match link.read_response().filter(|_| is_sent) {
             Some(_) => {
-                ends.push((id, RequestEnd::Answered));
-                kept = Some(link);
+                outcomes.push((id, RequestOutcome::Answered));
+                open_link = Some(link);
             }
-            None => ends.push((id, RequestEnd::Unanswered)),
+            None => outcomes.push((id, RequestOutcome::Unanswered)),
         }
-        pause(&mut rng, LONGEST_PAUSE_MS / 4);
+        pause(&mut rng, MAX_PAUSE_MS / 4);
     }
 }
 
-/// A connection on which the request comes late, or only a part of it, or its body in pieces.
-fn dawdle(front: SocketAddr, seed: u64) -> Vec<EndedRequest> {
-    const BODY: usize = 6;
+/// Opens a connection and sends the request late, with its head and body in pieces.
+fn send_slowly(caller_addr: SocketAddr, seed: u64) -> Vec<RequestResult> {
+    const BODY_BYTES: usize = 6;
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut ends = Vec::new();
+    let mut outcomes = Vec::new();
     loop {
-        let id = format!("slow-{seed}-{}", ends.len());
-        let Some(mut link) = CallerLink::connect(front) else {
-            ends.push((id, RequestEnd::NotConnected));
-            return ends;
+        let id = format!("slow-{seed}-{}", outcomes.len());
+        let Some(mut link) = CallerLink::connect(caller_addr) else {
+            outcomes.push((id, RequestOutcome::NotConnected));
+            return outcomes;
         };
-        let text = request_text(&id, "POST", BODY);
-        pause(&mut rng, 4 * LONGEST_PAUSE_MS);
-        let (first, rest) = text.split_at(rng.random_range(0..text.len()));
-        let mut is_sent = link.send(first.as_bytes());
-        pause(&mut rng, LONGEST_PAUSE_MS);
-        is_sent = is_sent && link.send(rest.as_bytes());
-        for _ in 0..BODY {
-            pause(&mut rng, LONGEST_PAUSE_MS);
+        let text = request_text(&id, "POST", BODY_BYTES);
+        pause(&mut rng, 4 * MAX_PAUSE_MS);
+        let (first_part, second_part) = text.split_at(rng.random_range(0..text.len()));
+        let mut is_sent = link.send(first_part.as_bytes());
+        pause(&mut rng, MAX_PAUSE_MS);
+        is_sent = is_sent && link.send(second_part.as_bytes());
+        for _ in 0..BODY_BYTES {
+            pause(&mut rng, MAX_PAUSE_MS);
             is_sent = is_sent && link.send(b"x");
         }
-        let end = match is_sent && link.read_answer().is_some() {
-            true => RequestEnd::Answered,
-            false => RequestEnd::Unanswered,
+        let outcome = match is_sent && link.read_response().is_some() {
+            true => RequestOutcome::Answered,
+            false => RequestOutcome::Unanswered,
         };
-        ends.push((id, end));
+        outcomes.push((id, outcome));
     }
 }
 
-/// Connections on which nothing comes, one after another.
-fn say_nothing(front: SocketAddr) -> Vec<EndedRequest> {
-    while let Some(mut link) = CallerLink::connect(front) {
+/// Opens connections one after another and sends nothing on them.
+fn send_nothing(caller_addr: SocketAddr) -> Vec<RequestResult> {
+    while let Some(mut link) = CallerLink::connect(caller_addr) {
         let mut buffer = [0_u8; 64];
-        // It ends with the process, or before.
+        // The connection is closed when the process exits, or earlier.
         let _ = link.stream.read(&mut buffer);
     }
     Vec::new()
 }
 
-fn pause<Source>(rng: &mut Source, longest_ms: u64)
+fn pause<Source>(rng: &mut Source, max_ms: u64)
 where
     Source: Rng,
 {
-    let pause = rng.random_range(0..longest_ms);
+    let pause = rng.random_range(0..max_ms);
     std::thread::sleep(Duration::from_millis(pause));
 }
 
 struct StopCase {
     name: &'static str,
     callers: &'static [CallerKind],
-    /// Signals after the first one to stop, and when.
+    /// Further signals after the first one, with their delay in milliseconds.
     signals: &'static [(u64, &'static str)],
     stops: u8,
 }
@@ -236,10 +246,10 @@
         name: "a connection for each request",
         callers: &[CallerKind::ConnectEachTime],
         signals: &[],
-        stops: STOPS,
+        stops: STOP_COUNT,
     },
     StopCase {
-        name: "told twice, and to read its settings",
+        name: "second signal to stop, and settings reloads",
         callers: &[CallerKind::ConnectEachTime],
         signals: &[
             (100, "HUP"),
@@ -250,12 +260,12 @@
         stops: 4,
     },
     StopCase {
-        name: "a kept connection, slow ones and silent ones",
+        name: "kept, slow and silent connections",
         callers: &[
-            CallerKind::KeepConnection,
-            CallerKind::Dawdle,
-            CallerKind::Dawdle,
-            CallerKind::SayNothing,
+            CallerKind::ReuseConnection,
+            CallerKind::SendSlowly,
+            CallerKind::SendSlowly,
+            CallerKind::SendNothing,
         ],
         signals: &[],
         stops: 6,
@@ -265,96 +275,105 @@
         callers: &[
             CallerKind::ConnectEachTime,
             CallerKind::ConnectEachTime,
-            CallerKind::KeepConnection,
+            CallerKind::ReuseConnection,
             CallerKind::ConnectEachTime,
-            CallerKind::Dawdle,
+            CallerKind::SendSlowly,
         ],
         signals: &[(500, "TERM")],
         stops: 3,
     },
 ];
 
-/// Stops one process under callers. Requests that were sent on and never answered.
-fn stop_under(case: &StopCase, ip: Ipv4Addr, seed: u64) -> Vec<String> {
+/// Stops one process while callers send requests. Returns the ids of the requests that were forwarded
+/// and never answered.
+fn run_stop(case: &StopCase, ip: Ipv4Addr, seed: u64) -> Vec<String> {
     let mut entry = RunningEntry::start(ip);
     entry.desk.faults.set(FaultSet {
-        delay_ms: ANSWER_DELAY_MS,
+        delay_ms: RESPONSE_DELAY_MS,
         ..FaultSet::default()
     });
-    let front = entry.front;
+    let caller_addr = entry.caller_addr;
     let callers = case.callers.iter().zip(0..).map(|(kind, number)| {
         let seed = seed * 16 + number;
-        std::thread::spawn(move || kind.run(front, seed))
+        std::thread::spawn(move || kind.run(caller_addr, seed))
     });
     let callers: Vec<_> = callers.collect();
     std::thread::sleep(Duration::from_millis(100));
-    let began = Instant::now();
+    let stop_started_at = Instant::now();
     entry.signal("TERM");
-    for (after, name) in case.signals {
-        let at = Duration::from_millis(*after);
-        std::thread::sleep(at.saturating_sub(began.elapsed()));
+    for (delay_ms, name) in case.signals {
+        let signal_at = Duration::from_millis(*delay_ms);
+        std::thread::sleep(signal_at.saturating_sub(stop_started_at.elapsed()));
         entry.signal(name);
     }
-    let status = entry.process.wait().expect("it ends");
+    let status = entry
+        .process
+        .wait()
+        .expect("the process cannot be waited for");
     assert!(status.success(), "{}: {status}", case.name);
-    let took = began.elapsed();
+    let stop_time = stop_started_at.elapsed();
     assert!(
-        (NOTICE_TIME..PROMPT).contains(&took),
-        "{}: {took:?}",
+        (NOTICE_TIME..MAX_STOP_TIME).contains(&stop_time),
+        "{}: {stop_time:?}",
         case.name
     );
-    let mut ends = Vec::new();
+    let mut outcomes = Vec::new();
     for (kind, caller) in case.callers.iter().zip(callers) {
-        let ended = caller.join().expect("it ends");
-        let unread = kind.unread(&ended);
-        assert_eq!(unread, 0, "{}: {kind:?} {seed}: {ended:?}", case.name);
-        ends.extend(ended);
+        let caller_outcomes = caller.join().expect("caller thread panicked");
+        let lost_count = kind.count_lost(&caller_outcomes);
+        assert_eq!(
+            lost_count, 0,
+            "{}: {kind:?} {seed}: {caller_outcomes:?}",
+            case.name
+        );
+        outcomes.extend(caller_outcomes);
     }
     let seen = entry.desk.seen();
-    let was_sent_on = |id: &str| seen.iter().any(|it| it.header("request-id") == id);
-    let lost = ends
+    let was_forwarded = |id: &str| seen.iter().any(|req| req.header("request-id") == id);
+    let lost = outcomes
         .into_iter()
-        .filter(|(id, end)| *end == RequestEnd::Unanswered && was_sent_on(id));
+        .filter(|(id, outcome)| *outcome == RequestOutcome::Unanswered && was_forwarded(id));
     lost.map(|(id, _)| id).collect()
 }
 
 #[test]
-fn a_request_that_was_sent_on_is_answered_also_at_the_end_of_a_stop() {
+fn forwarded_requests_are_answered_at_the_end_of_a_stop() {
     std::thread::scope(|scope| {
         let mut stops = Vec::new();
-        for (case, third) in CASES.iter().zip(2_u8..) {
+        for (case, subnet) in CASES.iter().zip(2_u8..) {
             for number in 1..=case.stops {
-                let ip = Ipv4Addr::new(127, 77, third, number);
-                let stop = scope.spawn(move || stop_under(case, ip, number.into()));
+                let ip = Ipv4Addr::new(127, 77, subnet, number);
+                let stop = scope.spawn(move || run_stop(case, ip, number.into()));
                 stops.push((case.name, stop));
             }
         }
         for (name, stop) in stops {
-            let lost = stop.join().expect("it ends");
+            let lost = stop.join().expect("stop thread panicked");
             assert!(lost.is_empty(), "{name}: {lost:?}");
         }
     });
 }
 
-/// The process stands still from before callers connect until its notice is over, so that they wait in the kernel's queue
-/// when it looks whether anybody is there.
+/// The process is paused from before callers connect until its notice time is over, so that their
+/// connections are still in the kernel's accept queue when it checks for open connections.
 #[test]
 fn callers_who_wait_to_be_accepted_are_served() {
-    const WAITING: usize = 12;
+    const QUEUED_CALLERS: usize = 12;
     let entry = RunningEntry::start(Ipv4Addr::new(127, 77, 9, 1));
     entry.signal("TERM");
     std::thread::sleep(NOTICE_TIME - Duration::from_millis(200));
     entry.signal("STOP");
-    let waiting = (0..WAITING).map(|number| {
-        let mut link = CallerLink::connect(entry.front).expect("the kernel accepts");
+    let queued = (0..QUEUED_CALLERS).map(|number| {
+        let mut link =
+            CallerLink::connect(entry.caller_addr).expect("the kernel refused the connection");
         let text = request_text(&format!("waits-{number}"), "GET", 0);
         assert!(link.send(text.as_bytes()));
         link
     });
-    let waiting: Vec<CallerLink> = waiting.collect();
+    let queued: Vec<CallerLink> = queued.collect();
     std::thread::sleep(Duration::from_millis(600));
     entry.signal("CONT");
-    let answered = waiting.into_iter().map(|mut link| link.read_answer());
+    let answered = queued.into_iter().map(|mut link| link.read_response());
     let answered = answered.filter(Option::is_some).count();
-    assert_eq!(answered, WAITING);
+    assert_eq!(answered, QUEUED_CALLERS);
 }
--- a/crates/entry/tests/support/mod.rs
+++ b/crates/entry/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! One process of the program before a stand-in of the store and one instance of a plain service.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Runs one process of the program with a stand-in for the store and one upstream of a plain service.
+#![allow(dead_code, reason = "each test file uses only some of the items")]
 
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
@@ -18,10 +18,10 @@
 use bergamot_standin::fault::FaultSet;
 use tokio::runtime::Runtime;
 
-/// The longest a test waits for something to come true.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// How long the upstream takes for an answer, in milliseconds.
-const ANSWER_DELAY_MS: u64 = 900;
+/// Limit on the wait for a condition or a response.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+/// Delay of the upstream's responses, in milliseconds.
+const RESPONSE_DELAY_MS: u64 = 900;
 
 pub fn program(settings: &PathBuf) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_bergamot-entry"));
@@ -33,7 +33,7 @@
 pub fn write_settings(name: &str, text: &str) -> PathBuf {
     let name = format!("bergamot-{name}-{}.toml", std::process::id());
     let path = std::env::temp_dir().join(name);
-    std::fs::write(&path, text).expect("the folder can be written");
+    std::fs::write(&path, text).expect("the settings file cannot be written");
     path
 }
 
@@ -41,25 +41,26 @@
     SampleSettings::on_address(ip, store).to_text()
 }
 
-/// One process before a store and one instance of a plain service.
+/// A running process with its store and the only upstream of a plain service.
 pub struct RunningEntry {
     pub process: Child,
     pub settings: PathBuf,
-    pub front: SocketAddr,
-    pub ready: SocketAddr,
+    pub caller_addr: SocketAddr,
+    pub ready_addr: SocketAddr,
     pub desk: Arc<SiteUpstream>,
     _runtime: Runtime,
 }
 
 impl RunningEntry {
     pub fn start(ip: Ipv4Addr) -> Self {
-        let runtime = Runtime::new().expect("a runtime starts");
+        let runtime = Runtime::new().expect("the runtime cannot be started");
         let store = SiteStoreStandin::new(SiteStoreOptions::default());
         let store_addr = runtime.block_on(async {
             let listener = tokio::net::TcpListener::bind(("127.0.0.1", 0)).await;
-            let listener = listener.expect("a port is free");
+            let listener = listener.expect("no port is free");
             tokio::spawn(Arc::clone(&store).expire_leases());
-            bergamot_standin::serve_on(listener, Arc::clone(&store)).expect("the store serves")
+            bergamot_standin::serve_on(listener, Arc::clone(&store))
+                .expect("the store stand-in cannot be started")
         });
         let text = config(1, &["key-1"]).to_string();
         store.put(CONFIG_KEY, text.as_bytes());
@@ -73,66 +74,71 @@
             crash: None,
         };
         let desk = SiteUpstream::start(options, Arc::clone(&store));
-        let desk = runtime.block_on(desk).expect("an upstream starts");
+        let desk = runtime
+            .block_on(desk)
+            .expect("the upstream stand-in cannot be started");
         let settings = write_settings(&ip.to_string(), &sample_settings(ip, store_addr));
         let process = program(&settings)
             .stdout(Stdio::null())
             .spawn()
-            .expect("it starts");
-        let port = |port: u16| SocketAddr::from((ip, port));
+            .expect("the process cannot be started");
+        let addr_of = |port: u16| SocketAddr::from((ip, port));
         let entry = Self {
             process,
             settings,
-            front: port(CALLER_PORT),
-            ready: port(READY_PORT),
+            caller_addr: addr_of(CALLER_PORT),
+            ready_addr: addr_of(READY_PORT),
             desk,
             _runtime: runtime,
         };
-        entry.wait("it is ready", || entry.is_ready());
-        entry.wait("it serves", || {
-            ask(entry.front).is_some_and(|reply| reply.starts_with("HTTP/1.1 200"))
+        entry.wait_until("readiness", || entry.is_ready());
+        entry.wait_until("first successful response", || {
+            send_request(entry.caller_addr).is_some_and(|reply| reply.starts_with("HTTP/1.1 200"))
         });
         entry.desk.faults.set(FaultSet {
-            delay_ms: ANSWER_DELAY_MS,
+            delay_ms: RESPONSE_DELAY_MS,
             ..FaultSet::default()
         });
         entry
     }
 
-    pub fn wait(&self, what: &str, holds: impl Fn() -> bool) {
-        let end = Instant::now() + PATIENCE;
-        while !holds() {
-            assert!(Instant::now() < end, "{what} did not come true");
+    pub fn wait_until(&self, condition: &str, is_met: impl Fn() -> bool) {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        while !is_met() {
+            assert!(
+                Instant::now() < deadline,
+                "timed out waiting for {condition}"
+            );
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
     pub fn is_ready(&self) -> bool {
         let text = "GET /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-        exchange(self.ready, text).is_some_and(|reply| reply.starts_with("HTTP/1.1 200"))
+        exchange(self.ready_addr, text).is_some_and(|reply| reply.starts_with("HTTP/1.1 200"))
     }
 
     pub fn signal(&self, name: &str) {
         let id = self.process.id().to_string();
-        let sent = Command::new("kill").args(["-s", name, &id]).status();
-        assert!(sent.is_ok_and(|status| status.success()), "{name}");
+        let kill_status = Command::new("kill").args(["-s", name, &id]).status();
+        assert!(kill_status.is_ok_and(|status| status.success()), "{name}");
     }
 
-    /// Signals the process while a request is at the upstream, and gives its answer.
-    pub fn signal_during_a_request(&self, name: &str) -> String {
-        let before = self.desk.seen().len();
-        let front = self.front;
-        let asked = std::thread::spawn(move || ask(front));
-        self.wait("the request runs", || self.desk.seen().len() > before);
+    /// Signals the process while a request is in flight at the upstream, and returns the response.
+    pub fn signal_during_request(&self, name: &str) -> String {
+        let seen_before = self.desk.seen().len();
+        let caller_addr = self.caller_addr;
+        let caller = std::thread::spawn(move || send_request(caller_addr));
+        self.wait_until("request in flight", || self.desk.seen().len() > seen_before);
         self.signal(name);
-        let reply = asked.join().expect("the caller ends");
-        reply.expect("there is an answer")
+        let reply = caller.join().expect("caller thread panicked");
+        reply.expect("the caller received no response")
     }
 }
 
 impl Drop for RunningEntry {
     fn drop(&mut self) {
-        // Ended already where the test went well.
+        // The process has exited already if the test passed.
         let _ = self.process.kill();
         let _ = self.process.wait();
         let _ = std::fs::remove_file(&self.settings);
@@ -141,14 +147,14 @@
 
 pub fn exchange(addr: SocketAddr, text: &str) -> Option<String> {
     let mut stream = TcpStream::connect(addr).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
     stream.write_all(text.as_bytes()).ok()?;
     let mut reply = String::new();
     stream.read_to_string(&mut reply).ok()?;
     Some(reply)
 }
 
-pub fn ask(front: SocketAddr) -> Option<String> {
+pub fn send_request(caller_addr: SocketAddr) -> Option<String> {
     let mut text = "GET /read/x HTTP/1.1\r\nConnection: close\r\n".to_owned();
     let request = SampleRequest {
         id: "first-look",
@@ -159,5 +165,5 @@
         text.push_str(&format!("{name}: {value}\r\n"));
     }
     text.push_str("\r\n");
-    exchange(front, &text)
+    exchange(caller_addr, &text)
 }
