--- a/crates/entry/src/duty/claims.rs
+++ b/crates/entry/src/duty/claims.rs
@@ -29,7 +29,7 @@
 const FINISH_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// The recipient of an answer that the claim state has not produced yet.
-enum Waiting {
+enum PendingReply {
     Local(u64, oneshot::Sender<(u64, Verdict)>),
     Peer(oneshot::Sender<Answer>),
 }
@@ -53,7 +53,7 @@
 struct ClaimsDuty {
     shared: Arc<SharedState>,
     state: ClaimState,
-    waiting: IndexMap<u64, Waiting>,
+    pending: IndexMap<u64, PendingReply>,
     next_call_id: u64,
     ended: VecDeque<EndedRequest>,
     resend_at: Vec<Millis>,
@@ -68,7 +68,7 @@
     let mut duty = ClaimsDuty {
         shared,
         state,
-        waiting: IndexMap::new(),
+        pending: IndexMap::new(),
         next_call_id: 1,
         ended: VecDeque::new(),
         resend_at: Vec::new(),
@@ -129,10 +129,10 @@
         }
     }
 
-    fn add_waiting(&mut self, waiting: Waiting) -> u64 {
+    fn add_pending(&mut self, pending: PendingReply) -> u64 {
         let call_id = self.next_call_id;
         self.next_call_id += 1;
-        self.waiting.insert(call_id, waiting);
+        self.pending.insert(call_id, pending);
         call_id
     }
 
@@ -160,7 +160,7 @@
             grant,
         };
         if owner == self.shared.settings.entry {
-            request.call_id = self.add_waiting(Waiting::Local(attempt, reply));
+            request.call_id = self.add_pending(PendingReply::Local(attempt, reply));
             self.feed(ClaimEvent::Request(request));
             return;
         }
@@ -240,7 +240,7 @@
                 let _ = reply.send(Answer::Claim(Verdict::Unavailable));
             }
             Question::Claim(request) => {
-                let call_id = self.add_waiting(Waiting::Peer(reply));
+                let call_id = self.add_pending(PendingReply::Peer(reply));
                 self.feed(ClaimEvent::Request(ClaimRequest { call_id, ..request }));
             }
             Question::Finish {
@@ -260,7 +260,7 @@
                 owner,
                 change,
             } => {
-                let call_id = self.add_waiting(Waiting::Peer(reply));
+                let call_id = self.add_pending(PendingReply::Peer(reply));
                 self.feed(ClaimEvent::Copy {
                     call_id,
                     epoch,
@@ -269,7 +269,7 @@
                 });
             }
             Question::Replica { epoch, records } => {
-                let call_id = self.add_waiting(Waiting::Peer(reply));
+                let call_id = self.add_pending(PendingReply::Peer(reply));
                 self.feed(ClaimEvent::Replica {
                     call_id,
                     epoch,
@@ -277,7 +277,7 @@
                 });
             }
             Question::Collect { epoch, slots } => {
-                let call_id = self.add_waiting(Waiting::Peer(reply));
+                let call_id = self.add_pending(PendingReply::Peer(reply));
                 self.feed(ClaimEvent::Collect {
                     call_id,
                     epoch,
@@ -298,18 +298,18 @@
     }
 
     fn answer(&mut self, call_id: u64, answer: Answer) {
-        if let Some(Waiting::Peer(reply)) = self.waiting.swap_remove(&call_id) {
+        if let Some(PendingReply::Peer(reply)) = self.pending.swap_remove(&call_id) {
             let _ = reply.send(answer);
         }
     }
 
     fn execute(&mut self, action: ClaimAction) {
         match action {
-            ClaimAction::Verdict { call_id, verdict } => match self.waiting.swap_remove(&call_id) {
-                Some(Waiting::Local(attempt, reply)) => {
+            ClaimAction::Verdict { call_id, verdict } => match self.pending.swap_remove(&call_id) {
+                Some(PendingReply::Local(attempt, reply)) => {
                     let _ = reply.send((attempt, verdict));
                 }
-                Some(Waiting::Peer(reply)) => {
+                Some(PendingReply::Peer(reply)) => {
                     let _ = reply.send(Answer::Claim(verdict));
                 }
                 None => {}
