--- a/crates/entry/src/duty/admin.rs
+++ b/crates/entry/src/duty/admin.rs
@@ -14,7 +14,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::oneshot;
 
-use super::shared::{ClaimsFront, ControlInbox, SharedState};
+use super::shared::{ClaimsInbox, ControlInbox, SharedState};
 
 /// Limit on the wait for another duty's part of the dump.
 const DUMP_TIMEOUT: Duration = Duration::from_secs(2);
@@ -94,7 +94,7 @@
     let (control_sender, control_receiver) = oneshot::channel();
     shared.control.push(ControlInbox::Dump(control_sender));
     let (claims_sender, claims_receiver) = oneshot::channel();
-    shared.claims.push(ClaimsFront::Dump(claims_sender));
+    shared.claims.push(ClaimsInbox::Dump(claims_sender));
     let receive_part = |receiver: oneshot::Receiver<serde_json::Value>| async {
         let dump = tokio::time::timeout(DUMP_TIMEOUT, receiver).await;
         dump.ok().and_then(Result::ok)
--- a/crates/entry/src/duty/claims.rs
+++ b/crates/entry/src/duty/claims.rs
@@ -17,7 +17,7 @@
 use tokio::sync::oneshot;
 
 use self::owner::{claim_from_owner, notify_owner};
-use super::shared::{ClaimNote, ClaimsFront, SharedState};
+use super::shared::{ClaimNote, ClaimsInbox, SharedState};
 use crate::control::ControlEvent;
 use crate::ring::RingReceiver;
 
@@ -62,7 +62,7 @@
 /// Runs the duty until the inbox is closed.
 pub async fn run(
     shared: Arc<SharedState>,
-    mut inbox: RingReceiver<ClaimsFront>,
+    mut inbox: RingReceiver<ClaimsInbox>,
     state: ClaimState,
 ) {
     let mut duty = ClaimsDuty {
@@ -95,29 +95,29 @@
         }
     }
 
-    fn handle_item(&mut self, item: ClaimsFront) {
+    fn handle_item(&mut self, item: ClaimsInbox) {
         match item {
-            ClaimsFront::Ask {
+            ClaimsInbox::Ask {
                 key,
                 body,
                 grant,
                 reply,
             } => self.request_claim(key, body, grant, reply),
-            ClaimsFront::Finish {
+            ClaimsInbox::Finish {
                 key,
                 attempt,
                 outcome,
                 note,
             } => self.finish(key, attempt, outcome, note),
-            ClaimsFront::Peer(question, reply) => self.handle_question(question, reply),
-            ClaimsFront::Event(event) => {
+            ClaimsInbox::Peer(question, reply) => self.handle_question(question, reply),
+            ClaimsInbox::Event(event) => {
                 if matches!(event, ClaimEvent::Roster(_)) {
                     let now = self.shared.clock.now();
                     self.resend_at = OUTCOME_RESEND_DELAYS.map(|delay| now + delay).to_vec();
                 }
                 self.feed(event);
             }
-            ClaimsFront::Dump(reply) => {
+            ClaimsInbox::Dump(reply) => {
                 let (owned, not_ready) = self.state.slot_counts();
                 let _ = reply.send(serde_json::json!({
                     "epoch": self.state.epoch(),
@@ -392,7 +392,7 @@
                 None => None,
             };
             if let Some(event) = into_event(to, answer) {
-                shared.claims.push(ClaimsFront::Event(event));
+                shared.claims.push(ClaimsInbox::Event(event));
             }
         });
     }
--- a/crates/entry/src/duty/control.rs
+++ b/crates/entry/src/duty/control.rs
@@ -5,7 +5,7 @@
 
 use bergamot_claims::ClaimEvent;
 
-use super::shared::{ClaimsFront, ControlInbox, PeerTask, PlatformTask, ProbeTask, SharedState};
+use super::shared::{ClaimsInbox, ControlInbox, PeerTask, PlatformTask, ProbeTask, SharedState};
 use crate::control::{ControlAction, ControlEvent, ControlState};
 use crate::ring::RingReceiver;
 use crate::route_view::RouteView;
@@ -98,7 +98,7 @@
         }
         ControlAction::Roster(record) => {
             let event = ClaimEvent::Roster(record);
-            shared.claims.push(ClaimsFront::Event(event))
+            shared.claims.push(ClaimsInbox::Event(event))
         }
         ControlAction::Publish(view) => {
             publish_view(shared, view);
--- a/crates/entry/src/duty/mod.rs
+++ b/crates/entry/src/duty/mod.rs
@@ -10,5 +10,5 @@
 pub mod shared;
 
 pub use shared::{
-    ClaimNote, ClaimsFront, ControlInbox, PeerTask, PlatformTask, ProbeTask, SharedState,
+    ClaimNote, ClaimsInbox, ControlInbox, PeerTask, PlatformTask, ProbeTask, SharedState,
 };
--- a/crates/entry/src/duty/peer.rs
+++ b/crates/entry/src/duty/peer.rs
@@ -14,7 +14,7 @@
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::sync::oneshot;
 
-use super::shared::{ClaimsFront, ControlInbox, PeerTask, SharedState};
+use super::shared::{ClaimsInbox, ControlInbox, PeerTask, SharedState};
 use crate::control::ControlEvent;
 use crate::ring::RingReceiver;
 
@@ -238,7 +238,7 @@
         }
         question => {
             let (sender, receiver) = oneshot::channel();
-            shared.claims.push(ClaimsFront::Peer(question, sender));
+            shared.claims.push(ClaimsInbox::Peer(question, sender));
             receiver.await.unwrap_or(Answer::Refused)
         }
     }
--- a/crates/entry/src/duty/shared.rs
+++ b/crates/entry/src/duty/shared.rs
@@ -65,7 +65,7 @@
 }
 
 /// Input of the claims duty.
-pub enum ClaimsFront {
+pub enum ClaimsInbox {
     /// Requests the claim of an idempotency key, so that a request may run.
     Ask {
         /// The key.
@@ -142,7 +142,7 @@
     /// Tasks for the probe duty.
     pub probe: RingSender<ProbeTask>,
     /// The inbox of the claims duty.
-    pub claims: RingSender<ClaimsFront>,
+    pub claims: RingSender<ClaimsInbox>,
     /// Counts of calls to the key-value store, for the dump.
     pub kv_calls: ArcSwap<serde_json::Value>,
 }
--- a/crates/entry/src/front/claimed.rs
+++ b/crates/entry/src/front/claimed.rs
@@ -11,7 +11,7 @@
 use super::FrontContext;
 use super::answer::{CallerAnswer, Refusal, mark_ran, mark_replayed, name_request, whole};
 use super::request::CallerRequest;
-use crate::duty::{ClaimNote, ClaimsFront};
+use crate::duty::{ClaimNote, ClaimsInbox};
 
 /// What is added to a request's own time before its claim counts as lost.
 const GRANT_MARGIN: Millis = Millis(5_000);
@@ -61,7 +61,7 @@
 impl Drop for GrantedClaim {
     fn drop(&mut self) {
         let outcome = self.outcome.take().unwrap_or(FinishOutcome::Unknown);
-        let item = ClaimsFront::Finish {
+        let item = ClaimsInbox::Finish {
             key: self.key,
             attempt: self.attempt,
             outcome,
@@ -148,7 +148,7 @@
     const NOT_ASKED: (u64, Verdict) = (0, Verdict::Unavailable);
     let shared = &front.shared;
     let (sender, receiver) = oneshot::channel();
-    let ask = ClaimsFront::Ask {
+    let ask = ClaimsInbox::Ask {
         key,
         body,
         grant: request.deadline.since(shared.clock.now()) + GRANT_MARGIN,
