--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -264,7 +264,7 @@
     pub fn stop(mut self, is_urgent: impl Fn() -> bool) -> StopOutcome {
         let shared = Arc::clone(&self.shared);
         shared.stopping.store(true, Ordering::SeqCst);
-        shared.tell_control(ControlEvent::Stopping);
+        shared.send_control(ControlEvent::Stopping);
         std::thread::sleep(STOP_NOTICE);
         let _ = self.stop.send(true);
         let started = std::time::Instant::now();
--- a/crates/entry/src/duty/claims.rs
+++ b/crates/entry/src/duty/claims.rs
@@ -375,7 +375,7 @@
                 });
             }
             ClaimAction::Settled(epoch) => {
-                self.shared.tell_control(ControlEvent::ClaimsSettled(epoch));
+                self.shared.send_control(ControlEvent::ClaimsSettled(epoch));
             }
         }
     }
--- a/crates/entry/src/duty/control.rs
+++ b/crates/entry/src/duty/control.rs
@@ -71,7 +71,7 @@
             };
             let is_queued = shared.platform.push(task);
             if !is_queued {
-                shared.tell_control(ControlEvent::Swapped {
+                shared.send_control(ControlEvent::Swapped {
                     key,
                     nonce,
                     outcome: bergamot_placement::SwapOutcome::NotSent,
@@ -138,6 +138,6 @@
             Some(Answer::Groups(entries)) => ControlEvent::PeerGroups(entries),
             _ => return,
         };
-        shared.tell_control(event);
+        shared.send_control(event);
     });
 }
--- a/crates/entry/src/duty/limits.rs
+++ b/crates/entry/src/duty/limits.rs
@@ -24,7 +24,7 @@
             let mut routing = shared.routing.lock();
             (routing.tick(now), routing.slack(now))
         };
-        shared.tell_control(ControlEvent::Slack(slack));
+        shared.send_control(ControlEvent::Slack(slack));
         for (lender, loan_request) in loan_requests {
             let Some(addr) = shared.peer_addr(&lender) else {
                 continue;
--- a/crates/entry/src/duty/peer.rs
+++ b/crates/entry/src/duty/peer.rs
@@ -103,7 +103,7 @@
         match decode::<Datagram>(&buffer[..size]) {
             Ok(datagram) => {
                 count_message(&shared, "datagram", "in");
-                shared.tell_control(ControlEvent::Datagram(Box::new(datagram), from));
+                shared.send_control(ControlEvent::Datagram(Box::new(datagram), from));
             }
             Err(error) => {
                 count_drop(&shared, "datagram_unreadable");
--- a/crates/entry/src/duty/platform.rs
+++ b/crates/entry/src/duty/platform.rs
@@ -93,7 +93,7 @@
         self.count("read", outcome.is_ok());
         match outcome {
             Ok(entry) => {
-                self.shared.tell_control(ControlEvent::Read {
+                self.shared.send_control(ControlEvent::Read {
                     key: key.to_owned(),
                     entry,
                     started: started_at,
@@ -102,7 +102,7 @@
             }
             Err(error) => {
                 log::debug!("event=kv_read_failed key={key} reason={error:?}");
-                self.shared.tell_control(ControlEvent::ReadFailed {
+                self.shared.send_control(ControlEvent::ReadFailed {
                     key: key.to_owned(),
                 });
                 false
@@ -124,7 +124,7 @@
     }
 
     fn report_entry(&self, entry: KvEntry, started_at: Millis) {
-        self.shared.tell_control(ControlEvent::Read {
+        self.shared.send_control(ControlEvent::Read {
             key: entry.key.clone(),
             entry: Some(entry),
             started: started_at,
@@ -145,7 +145,7 @@
         self.count("swap", is_ok);
         let is_sent = outcome != SwapOutcome::NotSent;
         let is_won = matches!(outcome, SwapOutcome::Won(_));
-        self.shared.tell_control(ControlEvent::Swapped {
+        self.shared.send_control(ControlEvent::Swapped {
             key: key.clone(),
             nonce,
             outcome,
@@ -195,7 +195,7 @@
         let Ok(vms) = list_result else {
             return false;
         };
-        platform.shared.tell_control(ControlEvent::Listed(vms));
+        platform.shared.send_control(ControlEvent::Listed(vms));
         true
     })
     .await;
--- a/crates/entry/src/duty/probe.rs
+++ b/crates/entry/src/duty/probe.rs
@@ -24,7 +24,7 @@
                     if let Err(error) = &report {
                         log::debug!("event=probe_failed vm={} reason={error:?}", target.vm);
                     }
-                    shared.tell_control(ControlEvent::Report {
+                    shared.send_control(ControlEvent::Report {
                         vm: target.vm,
                         asked: asked_at,
                         report: report.ok(),
@@ -40,7 +40,7 @@
                             order.term
                         );
                     }
-                    shared.tell_control(ControlEvent::Ordered { vm: target.vm });
+                    shared.send_control(ControlEvent::Ordered { vm: target.vm });
                 }
             }
         });
--- a/crates/entry/src/duty/shared.rs
+++ b/crates/entry/src/duty/shared.rs
@@ -149,7 +149,7 @@
 
 impl SharedState {
     /// Queues an event for control. If the ring is full, the event is dropped and counted.
-    pub fn tell_control(&self, event: ControlEvent) {
+    pub fn send_control(&self, event: ControlEvent) {
         if !self.control.push(ControlInbox::Event(event)) {
             self.metrics
                 .dropped
