--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -271,7 +271,7 @@
     pub fn stop(mut self, is_urgent: impl Fn() -> bool) -> StopOutcome {
         let shared = Arc::clone(&self.shared);
         shared.stopping.store(true, Ordering::SeqCst);
-        shared.tell_control(ControlEvent::Stopping);
+        shared.send_control(ControlEvent::Stopping);
         std::thread::sleep(STOP_GRACE_TIME);
         let _ = self.front_stop.send(true);
         let started_at = std::time::Instant::now();
--- a/crates/entry/src/duty/mod.rs
+++ b/crates/entry/src/duty/mod.rs
@@ -1,4 +1,4 @@
-//! The duties, each a thread of its own.
+//! The duties of the daemon. Each runs on its own thread.
 
 pub mod admin;
 pub mod claims;
@@ -10,5 +10,5 @@
 pub mod shared;
 
 pub use shared::{
-    ClaimNote, ClaimsFront, ControlInbox, PeerTask, PlatformTask, ProbeTask, SharedState,
+    ClaimNote, ClaimsInbox, ControlInbox, PeerTask, PlatformTask, ProbeTask, SharedState,
 };
--- a/crates/entry/src/front/claimed.rs
+++ b/crates/entry/src/front/claimed.rs
@@ -13,7 +13,7 @@
     CallerResponse, Refusal, full_response, mark_ran, mark_replayed, set_request_id,
 };
 use super::request::CallerRequest;
-use crate::duty::{ClaimNote, ClaimsFront};
+use crate::duty::{ClaimNote, ClaimsInbox};
 
 /// Added to the time left until a request's deadline before its claim counts as lost.
 const GRANT_MARGIN: Millis = Millis(5_000);
@@ -63,7 +63,7 @@
 impl Drop for GrantedClaim {
     fn drop(&mut self) {
         let outcome = self.outcome.take().unwrap_or(FinishOutcome::Unknown);
-        let finish_event = ClaimsFront::Finish {
+        let finish_event = ClaimsInbox::Finish {
             key: self.key,
             attempt: self.attempt,
             outcome,
@@ -154,7 +154,7 @@
     const NO_DECISION: (u64, Verdict) = (0, Verdict::Unavailable);
     let shared = &front.shared;
     let (verdict_sender, verdict_receiver) = oneshot::channel();
-    let claim_event = ClaimsFront::Ask {
+    let claim_event = ClaimsInbox::Ask {
         key,
         body,
         grant: request.deadline.since(shared.clock.now()) + GRANT_MARGIN,
