--- a/crates/entry/src/duty/admin.rs
+++ b/crates/entry/src/duty/admin.rs
@@ -66,7 +66,7 @@
         _ => (
             StatusCode::NOT_FOUND,
             "text/plain",
-            "unknown path; expected /healthz, /readyz, /metrics or /dump\n".to_owned(),
+            "/healthz, /readyz, /metrics and /dump are here\n".to_owned(),
         ),
     };
     let mut response = Response::new(Full::new(Bytes::from(body)));
--- a/crates/entry/src/duty/limits.rs
+++ b/crates/entry/src/duty/limits.rs
@@ -47,7 +47,10 @@
                         lent,
                         loan,
                     };
-                    shared.routing.lock().accept_loan(now, asked_at, &loan_reply);
+                    shared
+                        .routing
+                        .lock()
+                        .accept_loan(now, asked_at, &loan_reply);
                 }
             });
         }
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -106,11 +106,13 @@
             RouteName::Service(_) => PoolKind::Service,
         };
         let now = shared.clock.now();
-        let admission =
-            shared
-                .routing
-                .lock()
-                .request_slot(now, pool, &spec.account, spec.priority, spec.deadline);
+        let admission = shared.routing.lock().request_slot(
+            now,
+            pool,
+            &spec.account,
+            spec.priority,
+            spec.deadline,
+        );
         match admission {
             SlotReply::Admitted => {}
             SlotReply::Refused(kind, retry_after) => return Err(Refusal { kind, retry_after }),
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -116,14 +116,10 @@
                 "Messages dropped by reason",
                 &["reason"],
             ),
-            state: gauge(
-                "bergamot_state",
-                "Gauges of this VM's state by name",
-                &["name"],
-            ),
+            state: gauge("bergamot_state", "Numbers of this VM's state", &["name"]),
             violations: gauge(
                 "bergamot_invariant_violations",
-                "Violated invariants; any value above zero is a defect",
+                "Broken promises; anything above zero is a defect",
                 &["invariant"],
             ),
             registry,
