--- a/crates/load/src/capacity/decisions.rs
+++ b/crates/load/src/capacity/decisions.rs
@@ -2,15 +2,15 @@
 
 use std::time::Instant;
 
-use bergamot_bundle::{KeyRing, RollKeeper, RollRecord, SignedBundle, SignerKey};
-use bergamot_claims::{ClaimAsk, ClaimAsker, ClaimEvent, ClaimKey, ClaimOptions, ClaimState};
+use bergamot_bundle::{KeyRing, RollAdopter, RollRecord, SignedBundle, SignerKey};
+use bergamot_claims::{ClaimEvent, ClaimKey, ClaimOptions, ClaimRequest, ClaimState, Claimant};
 use bergamot_entry::control::ControlEvent;
 use bergamot_placement::{
     DomainRecord, EnginePhase, EngineReport, PlacementAction, PlacementEvent, PlacementOptions,
     PlacementState, SwapOutcome, VmListing, VmUse,
 };
 use bergamot_roster::SlotMap;
-use bergamot_routing::{PickRequest, RunnerFact};
+use bergamot_routing::{PickRequest, UpstreamFact};
 use bergamot_types::prelude::*;
 
 use super::fixture::{
@@ -243,7 +243,7 @@
     let views = [10_usize, 50, 120, 300, 600]
         .map(|runners| {
             let mut balancer = balancer(runners);
-            let facts: Vec<RunnerFact> = balancer.table().facts().values().cloned().collect();
+            let facts: Vec<UpstreamFact> = balancer.table().facts().values().cloned().collect();
             (runners as f64, micros(|| balancer.replace(facts.clone())))
         })
         .to_vec();
@@ -263,11 +263,11 @@
     let mut state = ClaimState::new(me.clone(), ClaimOptions::default());
     state.handle(Millis(1_000), ClaimEvent::Roster(roster(1)));
     for number in 0..count {
-        let ask = ClaimAsk {
-            ask: number as u64,
+        let request = ClaimRequest {
+            call_id: number as u64,
             key: ClaimKey::of(&ClientAccount::new("a"), &number.to_string()),
-            body: 1,
-            asker: ClaimAsker {
+            fingerprint: 1,
+            claimant: Claimant {
                 entry: me.clone(),
                 incarnation: 1,
                 attempt: number as u64,
@@ -275,7 +275,7 @@
             epoch: 1,
             grant: Millis(60_000),
         };
-        state.handle(Millis(1_000), ClaimEvent::Ask(ask));
+        state.handle(Millis(1_000), ClaimEvent::Request(request));
     }
     let bytes = resident() - before;
     assert_eq!(state.len(), count, "every claim was granted");
@@ -297,7 +297,7 @@
         let size = serde_json::to_vec(&signed).map_or(0, |v| v.len());
         bytes.push((models as f64, size as f64));
         let took = micros(|| {
-            let mut keeper = RollKeeper::new(ring.clone());
+            let mut keeper = RollAdopter::new(ring.clone());
             std::hint::black_box(keeper.adopt(&record, &signed).ok());
         });
         spent.push((models as f64, took));
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,21 +1,21 @@
-//! The protocol between entry VMs, alone: postcard messages, framing and versions.
+//! The wire protocol between entry VMs: postcard messages, framing and versions.
 //!
-//! Small periodic news goes by UDP in one datagram of bounded size; questions and answers go by
-//! TCP, one answer to each question, in frames with a length.
+//! Notices and periodic reports are sent over UDP, each in a datagram of bounded size. Requests and
+//! their answers are sent over TCP in length-prefixed frames.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
 pub mod datagram;
 pub mod frame;
 pub mod message;
-pub mod news;
 pub mod notice;
+pub mod updates;
 
 pub use datagram::{Datagram, DemandFact, EvidenceFact, MAX_DATAGRAM_BYTES};
 pub use frame::{Error, decode, encode, read_frame, write_frame};
 pub use message::{Answer, GroupsEntry, Question};
-pub use news::{NewsAnswer, NewsQuestion, StoreNews};
 pub use notice::{
-    CrashNotice, LeaderCount, LeaderStill, LimitNotice, LoadNotice, LoadScope, MAX_LEADER_COUNTS,
-    PeerNotice, QuietNotice, RelayScope, SilentNotice, UNREAD_UNIT,
+    CrashNotice, LeaderCount, LeaderStall, LeaderStallNotice, LimitNotice, LoadNotice, LoadScope,
+    MAX_LEADER_COUNTS, PENDING_TOKENS_UNIT, PeerNotice, RelayScope, SuspicionNotice,
 };
+pub use updates::{StoreUpdates, UpdateRequest, UpdateResponse};
--- /dev/null
+++ b/crates/peer/src/updates.rs
@@ -0,0 +1,55 @@
+//! Requests for store updates between entry VMs, and their answers.
+
+use bergamot_ports::{StoreEvent, StoreItem};
+use bergamot_types::prelude::*;
+use serde::{Deserialize, Serialize};
+
+/// Asks a peer for store updates.
+#[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
+pub struct UpdateRequest {
+    /// The requester has all changes up to this revision.
+    pub after: u64,
+    /// The requester knows no key that was removed up to this revision. This equals `after`, but is
+    /// larger if the requester has only begun to read the store.
+    pub unaffected_until: u64,
+    /// The revision of the requester's configuration, if it failed to read a newer one from the
+    /// store itself.
+    pub lacks_config_after: Option<u64>,
+}
+
+/// The answer to an [`UpdateRequest`].
+#[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
+pub enum UpdateResponse {
+    /// The changes that the requester lacks.
+    Changes(StoreUpdates),
+    /// The requester lacks changes that the peer no longer has.
+    Forgotten,
+    /// The peer has not read the store yet.
+    NotReady,
+}
+
+/// A batch of store updates and the age of the peer's view of the store. Ages are computed when the
+/// peer answers, so the requester may safely count them from the time of its request.
+#[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
+pub struct StoreUpdates {
+    /// The latest change of each key, in order of revision; a large configuration is omitted.
+    pub changes: Vec<StoreEvent>,
+    /// The revision up to which the requester is complete with these changes.
+    pub revision: u64,
+    /// Whether more changes follow.
+    pub has_more: bool,
+    /// The revision up to which the peer is complete.
+    pub reached: u64,
+    /// Whether the peer got the changes from another peer.
+    pub is_relayed: bool,
+    /// Time since the start of the last store call that showed nothing newer.
+    pub age: Millis,
+    /// The revision of the configuration.
+    pub config_revision: u64,
+    /// The configuration, if the requester lacks it.
+    pub config: Option<StoreItem>,
+    /// Time since the start of the last store call that showed this configuration as the newest.
+    pub config_age: Millis,
+    /// Time since the store returned from an outage, if there was one.
+    pub since_return: Option<Millis>,
+}
